--- a/src/core/isolation/zone_silence.c
+++ b/src/core/isolation/zone_silence.c
@@ -1,26 +1,27 @@
 #include "core/isolation/zone_silence.h"
 
-static unsigned count_heard(const zone_member_t *members, unsigned count, uint64_t since) {
-    unsigned heard = 0;
+static unsigned count_received(const zone_member_t *members, unsigned count, uint64_t since) {
+    unsigned received = 0;
     for (unsigned i = 0; i < count; i++)
-        heard += members[i].heard_at > 0 && members[i].heard_at >= since;
-    return heard;
+        received += members[i].heard_at > 0 && members[i].heard_at >= since;
+    return received;
 }
 
 static uint64_t before(uint64_t now, uint64_t ms) {
     return now > ms ? now - ms : 0;
 }
 
-static bool near_heard(const zone_member_t *members, unsigned count, uint64_t since) {
+static bool local_zone_responds(const zone_member_t *members, unsigned count, uint64_t since) {
     for (unsigned i = 0; i < count; i++)
         if (members[i].near && members[i].heard_at >= since)
             return true;
     return false;
 }
 
-/** For how long all members of other zones have left a question unanswered; 0: not all have. */
-static uint64_t others_silent_ms(const zone_silence_t *silence, const zone_member_t *members,
-                                 unsigned count, uint64_t now) {
+/** Time for which all members of other zones have left a probe unanswered; 0: not all have. */
+static uint64_t remote_zones_unresponsive_ms(const zone_silence_t *silence,
+                                             const zone_member_t *members, unsigned count,
+                                             uint64_t now) {
     uint64_t latest = 0;
     for (unsigned i = 0; i < count; i++) {
         const zone_member_t *member = &members[i];
@@ -35,68 +36,69 @@
     return latest == 0 || latest > now ? 0 : now - latest;
 }
 
-static zone_silence_step_t ask_in_turn(zone_silence_t *silence, uint64_t now) {
-    if (silence->asked_at > 0 && now < silence->asked_at + ZONE_ASK_AGAIN_MS)
+static zone_silence_step_t probe_if_due(zone_silence_t *silence, uint64_t now) {
+    if (silence->asked_at > 0 && now < silence->asked_at + ZONE_PROBE_INTERVAL_MS)
         return ZONE_SILENCE_NOTHING;
     silence->asked_at = now;
     return ZONE_SILENCE_ASK;
 }
 
-static void set_cut(zone_silence_t *silence, bool cut, uint64_t now) {
+static void set_isolated(zone_silence_t *silence, bool cut, uint64_t now) {
     silence->cut = cut;
     silence->since = now;
-    silence->heard_since = 0;
+    silence->recovering_since = 0;
     silence->doubt_since = 0;
 }
 
-static void begin_doubt(zone_silence_t *silence, uint64_t now) {
+static void begin_suspicion(zone_silence_t *silence, uint64_t now) {
     silence->doubt_since = now;
     silence->asked_at = 0;
     silence->reconnected = false;
 }
 
-static zone_silence_step_t look_while_cut(zone_silence_t *silence, const zone_member_t *members,
+static zone_silence_step_t check_recovery(zone_silence_t *silence, const zone_member_t *members,
                                           unsigned count, unsigned quorum, uint64_t now) {
-    uint64_t lately = before(now, ZONE_ASK_AGAIN_MS + 2 * ZONE_LOOK_MS);
-    /* An answer from before the cut is none. */
-    lately = lately > silence->since ? lately : silence->since;
-    if (count_heard(members, count, lately) < quorum)
-        silence->heard_since = 0;
-    else if (silence->heard_since == 0)
-        silence->heard_since = now;
-    else if (now >= silence->heard_since + ZONE_HEARD_MS) {
-        set_cut(silence, false, now);
+    uint64_t recent = before(now, ZONE_PROBE_INTERVAL_MS + 2 * ZONE_LOOK_MS);
+    /* Responses from before the isolation do not count. */
+    recent = recent > silence->since ? recent : silence->since;
+    if (count_received(members, count, recent) < quorum)
+        silence->recovering_since = 0;
+    else if (silence->recovering_since == 0)
+        silence->recovering_since = now;
+    else if (now >= silence->recovering_since + ZONE_RECOVERY_MS) {
+        set_isolated(silence, false, now);
         return ZONE_SILENCE_NOTHING;
     }
-    return ask_in_turn(silence, now);
+    return probe_if_due(silence, now);
 }
 
 zone_silence_step_t zone_silence_look(zone_silence_t *silence, const zone_member_t *members,
                                       unsigned count, unsigned quorum, bool waiting, uint64_t now) {
-    bool late = now > silence->looked_at + ZONE_LOOK_LATE_MS;
-    silence->looked_at = now;
+    bool check_late = now > silence->checked_at + ZONE_CHECK_LATE_MS;
+    silence->checked_at = now;
     if (silence->cut)
-        return look_while_cut(silence, members, count, quorum, now);
-    if (!waiting || count_heard(members, count, before(now, ZONE_WAIT_MS)) >= quorum) {
+        return check_recovery(silence, members, count, quorum, now);
+    if (!waiting || count_received(members, count, before(now, ZONE_WAIT_MS)) >= quorum) {
         silence->doubt_since = 0;
         return ZONE_SILENCE_NOTHING;
     }
-    if (silence->doubt_since == 0 || late)
-        begin_doubt(silence, now);
-    uint64_t silent_ms = others_silent_ms(silence, members, count, now);
-    if (silent_ms >= ZONE_CUT_MS && near_heard(members, count, silence->doubt_since)) {
-        set_cut(silence, true, now);
+    if (silence->doubt_since == 0 || check_late)
+        begin_suspicion(silence, now);
+    uint64_t unresponsive_ms = remote_zones_unresponsive_ms(silence, members, count, now);
+    if (unresponsive_ms >= ZONE_ISOLATED_AFTER_MS &&
+        local_zone_responds(members, count, silence->doubt_since)) {
+        set_isolated(silence, true, now);
         silence->asked_at = now;
         return ZONE_SILENCE_ASK;
     }
-    if (silent_ms >= ZONE_RECONNECT_MS && !silence->reconnected) {
+    if (unresponsive_ms >= ZONE_RECONNECT_AFTER_MS && !silence->reconnected) {
         silence->reconnected = true;
         return ZONE_SILENCE_RECONNECT;
     }
-    return ask_in_turn(silence, now);
+    return probe_if_due(silence, now);
 }
 
 bool zone_silence_in_doubt(const zone_silence_t *silence, uint64_t now) {
     return !silence->cut && silence->doubt_since > 0 &&
-           now < silence->doubt_since + ZONE_DOUBT_MOST_MS;
+           now < silence->doubt_since + ZONE_SUSPECT_MAX_MS;
 }
--- a/src/core/retry/answer_time.c
+++ b/src/core/retry/answer_time.c
@@ -3,9 +3,9 @@
 #include <math.h>
 
 enum {
-    ANSWERS_NEEDED = 8,
-    LATE_LEAST_MS = 250, /**< Pauses of a machine without processor time are shorter. */
-    DEVIATIONS = 8, /**< Twice as many as RFC 6298 has: a busy server must not get more work. */
+    MIN_SAMPLES = 8,
+    LATE_MIN_MS = 250,   /**< Shorter delays may be scheduling pauses. */
+    LATE_DEVIATIONS = 8, /**< RFC 6298 uses 4; a busy server must not receive extra load. */
 };
 static const double MEAN_GAIN = 0.125;
 static const double DEVIATION_GAIN = 0.25;
@@ -18,12 +18,12 @@
         time->deviation += DEVIATION_GAIN * (fabs(ms - time->mean) - time->deviation);
         time->mean += MEAN_GAIN * (ms - time->mean);
     }
-    if (time->answers < ANSWERS_NEEDED)
+    if (time->answers < MIN_SAMPLES)
         time->answers++;
 }
 
 uint32_t answer_time_late_ms(const answer_time_t *time) {
-    if (time->answers < ANSWERS_NEEDED)
+    if (time->answers < MIN_SAMPLES)
         return UINT32_MAX;
-    return (uint32_t)fmax(LATE_LEAST_MS, time->mean + DEVIATIONS * time->deviation);
+    return (uint32_t)fmax(LATE_MIN_MS, time->mean + LATE_DEVIATIONS * time->deviation);
 }
--- a/src/core/retry/come_back.c
+++ b/src/core/retry/come_back.c
@@ -1,27 +1,27 @@
 #include "core/retry/come_back.h"
 
-/** What the caller waits at most; told more, it comes back then. */
-static uint32_t honoured_ms(const come_back_t *call) {
+/** What the caller waits at max_ms; told more, it comes back then. */
+static uint32_t max_wait_ms(const come_back_t *call) {
     return call->time_left_ms / COME_BACK_HONOURED_PART;
 }
 
-static uint32_t isolated_ms(const come_back_t *call) {
+static uint32_t zone_isolated_wait_ms(const come_back_t *call) {
     if (call->led_ms <= call->lasted_ms)
         return COME_BACK_ELSEWHERE_MS;
     uint32_t wait = call->led_ms - call->lasted_ms;
     if (wait < COME_BACK_SOON_MS)
         return COME_BACK_SOON_MS;
-    uint32_t most = honoured_ms(call);
-    /* A caller with hardly any time left uses its last try up in any case. */
-    most = most < COME_BACK_SOON_MS ? COME_BACK_SOON_MS : most;
-    return wait < most ? wait : most;
+    uint32_t max_ms = max_wait_ms(call);
+    /* With so little time left, the next attempt is the last one in any case. */
+    max_ms = max_ms < COME_BACK_SOON_MS ? COME_BACK_SOON_MS : max_ms;
+    return wait < max_ms ? wait : max_ms;
 }
 
 uint32_t come_back_ms(const come_back_t *call) {
-    outage_t outage = {.lasts = true, .since = 0};
+    outage_t outage = {.active = true, .since = 0};
     switch (call->reason) {
     case COME_BACK_ISOLATED:
-        return isolated_ms(call);
+        return zone_isolated_wait_ms(call);
     case COME_BACK_OUTAGE:
         return outage_come_back_ms(&outage, call->lasted_ms);
     case COME_BACK_KNOWN:
--- a/src/core/retry/resend.c
+++ b/src/core/retry/resend.c
@@ -9,6 +9,6 @@
     resend_t resend = resend_not_run(state);
     if (resend != RESEND_NO)
         return resend;
-    bool again = state->time_left && state->same_usable && state->repeats < RESEND_SAME_MAXIMUM;
+    bool again = state->time_left && state->same_usable && state->repeats < RESEND_SAME_MAX;
     return again ? RESEND_SAME : RESEND_NO;
 }
--- a/src/core/retry/resend.h
+++ b/src/core/retry/resend.h
@@ -1,41 +1,39 @@
 /**
  * @file resend.h
- * Where a call goes next after a send whose outcome is unknown, or that was refused.
+ * Decides where a call is sent after an attempt that was refused or whose outcome is unknown.
  *
- * A route bounds the back ends that one call may be sent to. A back end that has ended or can't be
- * reached any more does not count: it runs nothing, or nobody will hear of it. Going to the same
- * back end once more adds none; a stream goes on there from its last event, and the prompt is
- * cached.
+ * A route limits the number of back ends per call. Back ends that have ended or are unreachable do
+ * not count towards the limit: no response can come from them. Resending to the same back end adds
+ * none: a stream resumes after its last event, and the prompt is cached.
  *
- * Decision code: no I/O, clock or thread.
+ * Decision code: no I/O, clock or threads.
  */
 #ifndef RUDDERWAY_CORE_RETRY_RESEND_H
 #define RUDDERWAY_CORE_RETRY_RESEND_H
 
 #include <stdbool.h>
 
-/** Times that a call is sent to the same back end again, at most. */
-enum { RESEND_SAME_MAXIMUM = 2 };
+/** Maximum number of resends to the same back end. */
+enum { RESEND_SAME_MAX = 2 };
 
 typedef enum {
-    RESEND_NO,        /**< The call fails. */
-    RESEND_ELSEWHERE, /**< To a back end that it has not been at. */
-    RESEND_SAME,      /**< To the back end where it was. */
+    RESEND_NO,        /**< Do not resend; the call fails. */
+    RESEND_ELSEWHERE, /**< To a back end not tried yet. */
+    RESEND_SAME,      /**< To the same back end. */
 } resend_t;
 
-/** What is known of a call's sends. */
 typedef struct {
-    unsigned attempts; /**< Back ends that the route allows. */
-    unsigned backends; /**< Back ends that any byte may have reached. */
-    unsigned ended;    /**< Of these, the ones that have ended or can't be reached. */
-    unsigned repeats;  /**< Times it went to the same back end again. */
+    unsigned attempts; /**< Maximum number of back ends, from the route. */
+    unsigned backends; /**< Back ends that may have received the call. */
+    unsigned ended;    /**< Of these, back ends that have ended or are unreachable. */
+    unsigned repeats;  /**< Resends to the same back end. */
     bool time_left;
-    bool same_usable; /**< The present back end is listed, and not one of the ended. */
+    bool same_usable; /**< The current back end is listed and has not ended. */
 } resend_state_t;
 
-/** After a send that did not run. */
+/** After an attempt that was not executed. */
 resend_t resend_not_run(const resend_state_t *state);
-/** After a send that may have run, of a call that may run again. */
+/** After an attempt of a retryable call that may have been executed. */
 resend_t resend_unknown(const resend_state_t *state);
 
 #endif
--- a/src/core/retry/retry_budget.c
+++ b/src/core/retry/retry_budget.c
@@ -2,19 +2,19 @@
 
 enum {
     TENTHS_PER_RETRY = 10,
-    TENTHS_MAXIMUM = 100 * TENTHS_PER_RETRY,
-    TENTHS_AT_START = 10 * TENTHS_PER_RETRY,
+    TENTHS_MAX = 100 * TENTHS_PER_RETRY,
+    TENTHS_INITIAL = 10 * TENTHS_PER_RETRY,
     DELAY_BASE_MS = 25,
-    DELAY_MAXIMUM_MS = 2000,
-    DOUBLINGS_MAXIMUM = 8,
+    DELAY_MAX_MS = 2000,
+    DOUBLINGS_MAX = 8,
 };
 
 retry_budget_t retry_budget_new(void) {
-    return (retry_budget_t){.tenths = TENTHS_AT_START};
+    return (retry_budget_t){.tenths = TENTHS_INITIAL};
 }
 
 void retry_budget_first_try(retry_budget_t *budget) {
-    if (budget->tenths < TENTHS_MAXIMUM)
+    if (budget->tenths < TENTHS_MAX)
         budget->tenths++;
 }
 
@@ -27,8 +27,8 @@
 
 int64_t retry_delay_ms(uint32_t attempt) {
     uint32_t doublings = attempt > 2 ? attempt - 2 : 0;
-    if (doublings > DOUBLINGS_MAXIMUM)
-        doublings = DOUBLINGS_MAXIMUM;
+    if (doublings > DOUBLINGS_MAX)
+        doublings = DOUBLINGS_MAX;
     int64_t delay = (int64_t)DELAY_BASE_MS << doublings;
-    return delay < DELAY_MAXIMUM_MS ? delay : DELAY_MAXIMUM_MS;
+    return delay < DELAY_MAX_MS ? delay : DELAY_MAX_MS;
 }
--- a/src/core/retry/retry_budget.h
+++ b/src/core/retry/retry_budget.h
@@ -1,8 +1,8 @@
 /**
  * @file retry_budget.h
- * Keeps retries below a fraction of first tries, so that a brownout is not made worse.
- * Each first try earns a tenth of a retry, up to a cap; each retry spends one.
- * Decision code: no I/O, clock or thread.
+ * Retry budget: limits retries to a fraction of first attempts, to prevent retry storms.
+ * Each first attempt earns a tenth of a retry, up to a cap; each retry spends one.
+ * Decision code: no I/O, clock or threads.
  */
 #ifndef RUDDERWAY_CORE_RETRY_RETRY_BUDGET_H
 #define RUDDERWAY_CORE_RETRY_RETRY_BUDGET_H
@@ -14,7 +14,7 @@
     uint32_t tenths;
 } retry_budget_t;
 
-/** A budget that allows a few retries before any first try has earned one. */
+/** Creates a budget with an initial allowance of retries. */
 retry_budget_t retry_budget_new(void);
 
 void retry_budget_first_try(retry_budget_t *budget);
--- a/src/core/retry/silence.h
+++ b/src/core/retry/silence.h
@@ -1,13 +1,13 @@
 /**
  * @file silence.h
- * What a call's silence at a back end means.
+ * Detects calls that are stalled at a back end.
  *
- * A back end that is slow keeps all its calls waiting; one that has lost a call goes on with
- * others. So a call is lost there if one that was sent later has been answered long since, or if
- * others' streams go on while its own stands still. A back end of which nothing is heard at all may
- * have vanished without a word: whether it can still be connected to tells.
+ * A slow back end delays all its calls, while one that has lost a call continues to serve others.
+ * A call is therefore considered lost if a call sent later has been answered, or if other streams
+ * make progress while its own does not. A back end that sends nothing at all may have failed; the
+ * caller then probes whether it accepts connections.
  *
- * Decision code: no I/O, clock or thread; times are ms of the caller's steady clock.
+ * Decision code: no I/O, clock or threads; times are ms of the caller's steady clock.
  */
 #ifndef RUDDERWAY_CORE_RETRY_SILENCE_H
 #define RUDDERWAY_CORE_RETRY_SILENCE_H
@@ -17,22 +17,22 @@
 
 typedef enum {
     SILENCE_USUAL,
-    SILENCE_SUSPECT, /**< Find out whether the back end can be connected to. */
-    SILENCE_LOST,    /**< The back end goes on without this call. */
+    SILENCE_SUSPECT, /**< Probe whether the back end accepts connections. */
+    SILENCE_LOST,    /**< The back end serves other calls but not this one. */
 } silence_t;
 
-/** What was heard from one back end. */
+/** Activity of one back end. */
 typedef struct {
-    uint64_t heard_at;         /**< Anything, of any call. */
-    uint64_t answered_sent_at; /**< When the latest-sent of the answered calls was sent. */
-    uint32_t answer_ms;        /**< Usual time to the first word of an answer. */
+    uint64_t heard_at;         /**< Last data received, of any call. */
+    uint64_t answered_sent_at; /**< Send time of the most recently sent call that was answered. */
+    uint32_t answer_ms;        /**< Typical time to the first byte of a response. */
 } backend_signs_t;
 
-/** One call there. */
+/** Activity of one call. */
 typedef struct {
     uint64_t sent_at;
-    uint64_t heard_at; /**< Its answer's latest bytes; when it was sent, if none came. */
-    bool answered;     /**< Its answer has begun. */
+    uint64_t heard_at; /**< Last data received for this call; initially the send time. */
+    bool answered;     /**< The response has started. */
 } call_signs_t;
 
 silence_t silence_judge(const call_signs_t *call, const backend_signs_t *backend, uint64_t now);
--- a/tests/unit/resend_test.cc
+++ b/tests/unit/resend_test.cc
@@ -30,7 +30,7 @@
     unsigned times = 0;
     for (; resend_unknown(&state) == RESEND_SAME; times++)
         state.repeats++;
-    EXPECT_EQ(times, unsigned{RESEND_SAME_MAXIMUM});
+    EXPECT_EQ(times, unsigned{RESEND_SAME_MAX});
     EXPECT_EQ(resend_unknown(&state), RESEND_NO);
 }
 
--- a/tests/unit/zone_silence_test.cc
+++ b/tests/unit/zone_silence_test.cc
@@ -109,7 +109,7 @@
         EXPECT_EQ(here.cuts, 1U);
         EXPECT_EQ(here.ends, 0U);
     }
-    EXPECT_GE(first, uint64_t{ZONE_WAIT_MS + ZONE_CUT_MS});
+    EXPECT_GE(first, uint64_t{ZONE_WAIT_MS + ZONE_ISOLATED_AFTER_MS});
     EXPECT_LE(last, 550U);
 }
 
@@ -119,7 +119,7 @@
     EXPECT_EQ(here.asked, 0U);
     here.waits_since = here.now; // An operation waits for a slow disk, though all are heard.
     here.run(1000);
-    EXPECT_LE(here.asked, 1000 / ZONE_ASK_AGAIN_MS + 1U);
+    EXPECT_LE(here.asked, 1000 / ZONE_PROBE_INTERVAL_MS + 1U);
     EXPECT_EQ(here.cuts, 0U);
 }
 
@@ -129,7 +129,7 @@
     here.run(2000);
     EXPECT_FALSE(here.silence.cut) << "nobody has anything to ask";
     here.waits_since = here.now - ZONE_WAIT_MS; // The neighbour's word counts as one that waits.
-    here.run(ZONE_DOUBT_MOST_MS);
+    here.run(ZONE_SUSPECT_MAX_MS);
     EXPECT_TRUE(here.silence.cut);
 }
 
@@ -210,8 +210,8 @@
     while (here.silence.cut && here.now < healed + 5000)
         here.run(ZONE_LOOK_MS);
     EXPECT_FALSE(here.silence.cut);
-    EXPECT_GE(here.now - healed, uint64_t{ZONE_HEARD_MS});
-    EXPECT_LE(here.now - healed, uint64_t{ZONE_HEARD_MS + 4 * ZONE_ASK_AGAIN_MS});
+    EXPECT_GE(here.now - healed, uint64_t{ZONE_RECOVERY_MS});
+    EXPECT_LE(here.now - healed, uint64_t{ZONE_RECOVERY_MS + 4 * ZONE_PROBE_INTERVAL_MS});
     EXPECT_EQ(here.cuts, 1U);
 }
 
