--- a/src/core/admission/call_counts.c
+++ b/src/core/admission/call_counts.c
@@ -3,12 +3,13 @@
 #include <math.h>
 
 enum {
-    KNOWN_ENDED = 8,     /**< Programs that must have ended before their calls are forecast. */
-    COUNTED_MOST = 1000, /**< Programs; beyond, all counts are halved. */
-    PRIOR = 2,      /**< Programs that are taken to have done as all do, at each number of calls. */
-    LONG_TIMES = 4, /**< A program with so many times the mean doesn't end, */
-    LONG_LEAST = 64, /**< unless these are fewer calls than this. */
-    MEAN_MOST = 64,  /**< Calls that any program is expected to make still. */
+    MIN_ENDED = 8,      /**< Ended programs required for a forecast. */
+    COUNTED_MAX = 1000, /**< Started programs; beyond, all counts are halved. */
+    PRIOR_WEIGHT = 2, /**< Weight of the overall rate in the estimate of each slot, in programs. */
+    ENDLESS_FACTOR =
+        4, /**< A program with more than this multiple of the mean is considered endless, */
+    ENDLESS_MIN_CALLS = 64, /**< but never with fewer calls than this. */
+    MEAN_MAX = 64,          /**< Upper bound of the forecast mean. */
 };
 
 static unsigned slot(unsigned calls) {
@@ -17,69 +18,71 @@
 
 static void halve(call_counts_t *counts) {
     for (unsigned i = 0; i < CALL_COUNTS_LENGTH; i++) {
-        counts->went_on[i] /= 2;
+        counts->continued[i] /= 2;
         counts->ended[i] /= 2;
     }
-    counts->begun /= 2;
-    counts->all_ended /= 2;
-    counts->all_went_on /= 2;
+    counts->started /= 2;
+    counts->total_ended /= 2;
+    counts->total_continued /= 2;
 }
 
-void call_counts_note_call(call_counts_t *counts, unsigned calls) {
+void call_counts_record_call(call_counts_t *counts, unsigned calls) {
     if (calls <= 1) {
-        counts->begun++;
-        if (counts->begun > COUNTED_MOST)
+        counts->started++;
+        if (counts->started > COUNTED_MAX)
             halve(counts);
         return;
     }
-    counts->went_on[slot(calls - 1)]++;
-    counts->all_went_on++;
+    counts->continued[slot(calls - 1)]++;
+    counts->total_continued++;
     counts->stale = true;
 }
 
-void call_counts_note_end(call_counts_t *counts, unsigned calls, bool ended) {
+void call_counts_record_end(call_counts_t *counts, unsigned calls, bool ended) {
     float change = ended ? 1 : -1;
     counts->ended[slot(calls)] = fmaxf(counts->ended[slot(calls)] + change, 0);
-    counts->all_ended = fmaxf(counts->all_ended + change, 0);
+    counts->total_ended = fmaxf(counts->total_ended + change, 0);
     counts->stale = true;
 }
 
-bool call_counts_known(const call_counts_t *counts) {
-    return counts->all_ended >= KNOWN_ENDED;
+bool call_counts_sufficient(const call_counts_t *counts) {
+    return counts->total_ended >= MIN_ENDED;
 }
 
-/** Works the forecast out from the last number of calls down. */
+/** Recomputes the forecast, from the highest number of calls down. */
 static void refresh(call_counts_t *counts) {
     if (!counts->stale)
         return;
     counts->stale = false;
-    float usual = counts->all_went_on / fmaxf(counts->all_went_on + counts->all_ended, 1);
-    float mean = fminf(usual / fmaxf(1 - usual, 1.0F / MEAN_MOST), MEAN_MOST);
-    float square = mean * (2 * mean + 1);
+    float overall =
+        counts->total_continued / fmaxf(counts->total_continued + counts->total_ended, 1);
+    float mean = fminf(overall / fmaxf(1 - overall, 1.0F / MEAN_MAX), MEAN_MAX);
+    float mean_square = mean * (2 * mean + 1);
     for (unsigned i = CALL_COUNTS_LENGTH - 1; i > 0; i--) {
-        float seen = counts->went_on[i] + counts->ended[i];
-        float chance = (counts->went_on[i] + PRIOR * usual) / (seen + PRIOR);
-        counts->chance[i] = chance;
+        float seen = counts->continued[i] + counts->ended[i];
+        float probability = (counts->continued[i] + PRIOR_WEIGHT * overall) / (seen + PRIOR_WEIGHT);
+        counts->continue_probability[i] = probability;
         float next_mean = mean;
-        mean = fminf(chance * (1 + next_mean), MEAN_MOST);
-        square = chance * (1 + 2 * next_mean + square);
+        mean = fminf(probability * (1 + next_mean), MEAN_MAX);
+        mean_square = probability * (1 + 2 * next_mean + mean_square);
         counts->mean[i] = mean;
-        counts->square[i] = square;
+        counts->mean_square[i] = mean_square;
     }
-    counts->chance[0] = 1;
+    counts->continue_probability[0] = 1;
     counts->mean[0] = 1 + mean;
-    counts->square[0] = 1 + 2 * mean + square;
+    counts->mean_square[0] = 1 + 2 * mean + mean_square;
 }
 
 call_forecast_t call_counts_forecast(call_counts_t *counts, unsigned calls) {
     refresh(counts);
     unsigned i = slot(calls);
-    float chance = fmaxf(counts->chance[i], 1.0F / COUNTED_MOST);
-    return (call_forecast_t){
-        .chance = chance, .mean = counts->mean[i] / chance, .square = counts->square[i] / chance};
+    float probability = fmaxf(counts->continue_probability[i], 1.0F / COUNTED_MAX);
+    return (call_forecast_t){.continue_probability = probability,
+                             .mean = counts->mean[i] / probability,
+                             .mean_square = counts->mean_square[i] / probability};
 }
 
-double call_counts_most(call_counts_t *counts) {
+double call_counts_max_calls(call_counts_t *counts) {
     refresh(counts);
-    return fmax(LONG_TIMES * (double)counts->mean[0], LONG_LEAST);
+    return fmax(ENDLESS_FACTOR * (double)counts->mean[0], ENDLESS_MIN_CALLS);
 }
--- a/src/core/admission/call_counts.h
+++ b/src/core/admission/call_counts.h
@@ -1,10 +1,10 @@
 /**
  * @file call_counts.h
- * How many calls programs of a kind make: of those that made k calls, how many made one more.
- * Counts what has been seen of programs that are still under way as well, so short programs, which
- * end first, don't bias it.
+ * Estimates how many calls programs of a kind make: of those that made k calls, how many made one
+ * more. Active programs are counted as well, so that short programs, which end first, do not bias
+ * the estimate.
  *
- * Decision code: no I/O, clock or thread; an object belongs to one thread.
+ * Decision code: no I/O, clock or threads; an object belongs to one thread.
  */
 #ifndef RUDDERWAY_CORE_ADMISSION_CALL_COUNTS_H
 #define RUDDERWAY_CORE_ADMISSION_CALL_COUNTS_H
@@ -13,37 +13,40 @@
 #include <stdint.h>
 
 enum {
-    CALL_COUNTS_LENGTH = 96, /**< Programs with more calls are counted as with so many. */
+    CALL_COUNTS_LENGTH = 96, /**< Number of slots; programs with more calls use the last one. */
 };
 
 typedef struct {
-    float went_on[CALL_COUNTS_LENGTH]; /**< Programs that made call k + 1 after k calls. */
-    float ended[CALL_COUNTS_LENGTH];   /**< Programs that ended after k calls. */
-    float begun;                       /**< Programs, halved as the rest is. */
-    float all_ended;
-    float all_went_on;
-    bool stale;                       /**< The forecast is older than the counts. */
-    float chance[CALL_COUNTS_LENGTH]; /**< Of one more call after k. */
-    float mean[CALL_COUNTS_LENGTH];   /**< Calls still to come after k. */
-    float square[CALL_COUNTS_LENGTH]; /**< Mean of their square. */
+    float continued[CALL_COUNTS_LENGTH]; /**< Programs that made call k + 1 after k calls. */
+    float ended[CALL_COUNTS_LENGTH];     /**< Programs that ended after k calls. */
+    float started;                       /**< Started programs. */
+    float total_ended;
+    float total_continued;
+    bool stale;                                     /**< The forecast must be recomputed. */
+    float continue_probability[CALL_COUNTS_LENGTH]; /**< Probability of another call after k. */
+    float mean[CALL_COUNTS_LENGTH];                 /**< Expected remaining calls after k. */
+    float mean_square[CALL_COUNTS_LENGTH]; /**< Mean square of the remaining calls after k. */
 } call_counts_t;
 
-/** What a program that has made some calls will still do. */
+/** Forecast for a program that has made some calls. */
 typedef struct {
-    double chance; /**< That it makes one more call. */
-    double mean;   /**< Calls to come, if so. */
-    double square; /**< Mean of their square, if so. */
+    double continue_probability; /**< Of at least one more call. */
+    double mean;                 /**< Expected remaining calls, given one more. */
+    double mean_square;          /**< Mean square of the remaining calls, given one more. */
 } call_forecast_t;
 
-/** A program has made its call number @p calls, from 1. */
-void call_counts_note_call(call_counts_t *counts, unsigned calls);
-/** A program has ended after @p calls, or (@p ended false) was taken for ended and goes on. */
-void call_counts_note_end(call_counts_t *counts, unsigned calls, bool ended);
-/** True if enough programs have ended to tell. */
-bool call_counts_known(const call_counts_t *counts);
-/** Of a program that has made @p calls; 0: that is about to begin. */
+/** Records a program's call number @p calls, from 1. */
+void call_counts_record_call(call_counts_t *counts, unsigned calls);
+/**
+ * Records that a program has ended after @p calls; with @p ended false, reverts this for a program
+ * that has resumed.
+ */
+void call_counts_record_end(call_counts_t *counts, unsigned calls, bool ended);
+/** True if enough programs have ended for a forecast. */
+bool call_counts_sufficient(const call_counts_t *counts);
+/** Forecast after @p calls; 0: for a new program. */
 call_forecast_t call_counts_forecast(call_counts_t *counts, unsigned calls);
-/** Calls beyond which a program is taken for one that doesn't end. */
-double call_counts_most(call_counts_t *counts);
+/** Number of calls beyond which a program is considered endless. */
+double call_counts_max_calls(call_counts_t *counts);
 
 #endif
--- a/src/core/admission/program_home.c
+++ b/src/core/admission/program_home.c
@@ -4,13 +4,14 @@
 #include <xxhash.h>
 
 enum {
-    /** Calls a second of the limit for each home: of some twenty programs at once that make a few
-     * calls a second each, so that what one of them does hardly changes their sum. */
-    HOME_CALLS_PER_S = 100,
+    /**
+     * Limit per home, in calls per second: high enough that one program hardly changes the sum.
+     */
+    CALLS_PER_S_PER_HOME = 100,
 };
 
 unsigned program_home_count(const quota_limit_t *limit, unsigned shares) {
-    return CLAMP(limit->rate / HOME_CALLS_PER_S, 1, MAX(shares, 1));
+    return CLAMP(limit->rate / CALLS_PER_S_PER_HOME, 1, MAX(shares, 1));
 }
 
 unsigned program_home_choose(const quota_member_t *members, unsigned count, unsigned homes,
--- a/src/core/admission/program_ledger.c
+++ b/src/core/admission/program_ledger.c
@@ -1,10 +1,10 @@
 /*
- * Design. Programs under way stand in a queue by when they were last heard, so that those that have
- * fallen silent are found at its head; those that have ended, or were refused, are remembered in
- * another one for a while: a program that was only slow is known when it goes on. An end is known
- * only after a silence; that a program has gone on is counted as late, or else many programs that
- * begin at once would all seem to be long ones. What those under
- * way owe is summed up again every few ms at most, and carried on in between.
+ * Design. Active programs are kept in a queue ordered by their last call, so that idle ones are
+ * found at its head. Ended and refused programs are kept in a second queue for a while, so that a
+ * program that was only slow is recognized when it resumes. The end of a program is detected by an
+ * idle timeout, and its further calls are counted with the same delay: otherwise a burst of new
+ * programs would bias the distribution towards long ones. The demand of the active programs is
+ * cached for a few ms and updated incrementally in between.
  */
 #include "core/admission/program_ledger.h"
 
@@ -14,76 +14,76 @@
 #include <math.h>
 
 enum {
-    PROGRAMS_MAXIMUM = 10000, /**< Remembered. */
-    LATE_MAXIMUM = 20000,     /**< Calls that are still to be counted; more are not. */
-    KINDS_MAXIMUM = 16,       /**< With counts of their own; more share those of all. */
-    SUM_MS = 10,              /**< A sum is used for so long. */
-    REMEMBER_MS = 15000,      /**< Programs that have ended or were refused. */
-    SILENT_LEAST_MS = 500,
-    SILENT_MOST_MS = 5000,
-    GAP_FIRST_MS = 500, /**< Between calls of a program, before any is known. */
-    SOON_MS = 100,      /**< A token that comes within this is as good as there. */
-    CARRIES_FEW = 4,    /**< Programs at once; below, a new program's own need is left out. */
-    WAIT_LEAST_MS = 100,
-    WAIT_MOST_MS = 2000, /**< Callers have some seconds; a program that ends makes room earlier. */
+    PROGRAMS_MAX = 10000, /**< Tracked. */
+    PENDING_MAX = 20000,  /**< Calls that are yet to be counted; further calls are dropped. */
+    KINDS_MAX = 16,       /**< Kinds with their own counts; the rest share the overall counts. */
+    DEMAND_CACHE_MS = 10, /**< Validity of the cached demand. */
+    RETENTION_MS = 15000, /**< Of ended and refused programs. */
+    IDLE_MIN_MS = 500,
+    IDLE_MAX_MS = 5000,
+    GAP_INITIAL_MS = 500, /**< Initial estimate of the time between calls of a program. */
+    SOON_MS = 100,        /**< A token available within this time counts as available. */
+    FEW_PROGRAMS =
+        4, /**< Below this capacity in programs, the demand of the new program is ignored. */
+    WAIT_MIN_MS = 100,
+    WAIT_MAX_MS = 2000, /**< Callers wait a few seconds; capacity may become available earlier. */
 };
 
-/** Nine times in ten a sum of many programs' calls is less than so many deviations above its mean.
- */
-static const double DEVIATIONS = 1.28;
-/** The margin takes so much of a full bucket at most; the rest is there for crowds. */
-static const double MARGIN_PART = 0.5;
-/** How much a new gap changes the mean, and by how many mean deviations silence exceeds it. */
-static const double GAP_PART = 1.0 / 32;
+/** Margin above the mean demand, in standard deviations (90th percentile). */
+static const double MARGIN_DEVIATIONS = 1.28;
+/** Upper bound of the margin, as a fraction of the bucket; the rest is left for bursts. */
+static const double MARGIN_MAX_FRACTION = 0.5;
+/** EWMA gain of the gap, and the mean deviations above it that make a program idle. */
+static const double GAP_GAIN = 1.0 / 32;
 static const double GAP_DEVIATIONS = 6;
 
-typedef enum { PROGRAM_LIVE, PROGRAM_QUIET, PROGRAM_REFUSED } program_state_t;
+typedef enum { PROGRAM_ACTIVE, PROGRAM_ENDED, PROGRAM_REFUSED } program_state_t;
 
 typedef struct {
     uint64_t id;
-    uint64_t heard_at;
-    call_counts_t *counts; /**< Of its kind. */
+    uint64_t last_call_at;
+    call_counts_t *counts; /**< Counts of its kind. */
     unsigned calls;
     program_state_t state;
-    bool whole; /**< Its first call was seen here. */
-    bool waits; /**< There was no token for its latest call. */
-    GList link; /**< In one of the queues. */
+    bool complete; /**< Tracked since its first call. */
+    bool waited;   /**< No token was available for its latest call. */
+    GList link;
 } entry_t;
 
-/** A program's further call that is to be counted. */
+/** A call to be counted at a later time. */
 typedef struct {
     call_counts_t *counts;
     unsigned calls;
     uint64_t due_at;
-} late_count_t;
+} pending_count_t;
 
 typedef struct {
     double owed;
     double variance;
     double calls_per_ms;
-} sum_t;
+} demand_t;
 
 struct program_ledger {
-    GHashTable *programs; /**< By id. */
-    GHashTable *kinds;    /**< Hash of a kind to its call_counts_t. */
+    GHashTable *programs;
+    GHashTable *kinds; /**< Kind hash to call_counts_t. */
     call_counts_t all;
-    GQueue live;
-    GQueue quiet; /**< Also those refused. */
-    GArray *late; /**< Of late_count_t, by when they are due. */
+    GQueue active;
+    GQueue inactive; /**< Ended and refused programs. */
+    GArray *late;    /**< Of pending_count_t, by due time. */
     double gap_ms;
     double gap_deviation_ms;
-    sum_t sum;
-    uint64_t summed_at;
-    bool summed;
+    demand_t demand;
+    uint64_t demand_at;
+    bool demand_valid;
 };
 
 program_ledger_t *program_ledger_new(void) {
     program_ledger_t *ledger = g_new0(program_ledger_t, 1);
     ledger->programs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     ledger->kinds = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-    ledger->late = g_array_new(FALSE, FALSE, sizeof(late_count_t));
-    ledger->gap_ms = GAP_FIRST_MS;
-    ledger->gap_deviation_ms = GAP_FIRST_MS;
+    ledger->late = g_array_new(FALSE, FALSE, sizeof(pending_count_t));
+    ledger->gap_ms = GAP_INITIAL_MS;
+    ledger->gap_deviation_ms = GAP_INITIAL_MS;
     return ledger;
 }
 
@@ -98,65 +98,61 @@
     return g_hash_table_size(ledger->programs);
 }
 
-/* Kinds. */
-
 static call_counts_t *counts_of(program_ledger_t *ledger, uint64_t kind) {
     call_counts_t *counts = g_hash_table_lookup(ledger->kinds, &kind);
     if (counts != NULL || kind == 0)
         return counts == NULL ? &ledger->all : counts;
-    if (g_hash_table_size(ledger->kinds) >= KINDS_MAXIMUM)
+    if (g_hash_table_size(ledger->kinds) >= KINDS_MAX)
         return &ledger->all;
     counts = g_new0(call_counts_t, 1);
     g_hash_table_insert(ledger->kinds, g_memdup2(&kind, sizeof kind), counts);
     return counts;
 }
 
-/** The counts to forecast by: of the kind if they tell enough. */
-static call_counts_t *telling(program_ledger_t *ledger, call_counts_t *counts) {
-    return call_counts_known(counts) ? counts : &ledger->all;
+/** Counts for a forecast: those of the kind if sufficient, else the overall counts. */
+static call_counts_t *forecast_counts(program_ledger_t *ledger, call_counts_t *counts) {
+    return call_counts_sufficient(counts) ? counts : &ledger->all;
 }
 
-static uint64_t silent_ms(const program_ledger_t *ledger) {
+static uint64_t idle_timeout_ms(const program_ledger_t *ledger) {
     double silent = ledger->gap_ms + GAP_DEVIATIONS * ledger->gap_deviation_ms;
-    return (uint64_t)CLAMP(silent, (double)SILENT_LEAST_MS, (double)SILENT_MOST_MS);
+    return (uint64_t)CLAMP(silent, (double)IDLE_MIN_MS, (double)IDLE_MAX_MS);
 }
 
-/** Only programs seen from their first call on tell how many calls a program makes. */
-static void note_call(program_ledger_t *ledger, const entry_t *entry, uint64_t now) {
-    if (!entry->whole || ledger->late->len >= LATE_MAXIMUM)
+/** Only programs tracked since their first call are counted. */
+static void schedule_count(program_ledger_t *ledger, const entry_t *entry, uint64_t now) {
+    if (!entry->complete || ledger->late->len >= PENDING_MAX)
         return;
-    uint64_t silent = silent_ms(ledger);
+    uint64_t silent = idle_timeout_ms(ledger);
     uint64_t gap = MIN((uint64_t)ledger->gap_ms, silent);
-    late_count_t late = {entry->counts, entry->calls, now + silent - gap};
+    pending_count_t late = {entry->counts, entry->calls, now + silent - gap};
     g_array_append_val(ledger->late, late);
 }
 
-static void count_late(program_ledger_t *ledger, uint64_t now) {
+static void apply_due_counts(program_ledger_t *ledger, uint64_t now) {
     guint done = 0;
     for (; done < ledger->late->len; done++) {
-        const late_count_t *late = &g_array_index(ledger->late, late_count_t, done);
+        const pending_count_t *late = &g_array_index(ledger->late, pending_count_t, done);
         if (late->due_at > now)
             break;
-        call_counts_note_call(late->counts, late->calls);
+        call_counts_record_call(late->counts, late->calls);
         if (late->counts != &ledger->all)
-            call_counts_note_call(&ledger->all, late->calls);
+            call_counts_record_call(&ledger->all, late->calls);
     }
     if (done > 0)
         g_array_remove_range(ledger->late, 0, done);
 }
 
-static void note_end(program_ledger_t *ledger, const entry_t *entry, bool ended) {
-    if (!entry->whole)
+static void record_end(program_ledger_t *ledger, const entry_t *entry, bool ended) {
+    if (!entry->complete)
         return;
-    call_counts_note_end(entry->counts, entry->calls, ended);
+    call_counts_record_end(entry->counts, entry->calls, ended);
     if (entry->counts != &ledger->all)
-        call_counts_note_end(&ledger->all, entry->calls, ended);
+        call_counts_record_end(&ledger->all, entry->calls, ended);
 }
 
-/* Programs. */
-
 static GQueue *queue_of(program_ledger_t *ledger, const entry_t *entry) {
-    return entry->state == PROGRAM_LIVE ? &ledger->live : &ledger->quiet;
+    return entry->state == PROGRAM_ACTIVE ? &ledger->active : &ledger->inactive;
 }
 
 static void set_state(program_ledger_t *ledger, entry_t *entry, program_state_t state) {
@@ -166,176 +162,178 @@
 }
 
 static void expire(program_ledger_t *ledger, uint64_t now) {
-    uint64_t silent = silent_ms(ledger);
-    count_late(ledger, now);
-    for (entry_t *entry = g_queue_peek_head(&ledger->live);
-         entry != NULL && entry->heard_at + silent < now;
-         entry = g_queue_peek_head(&ledger->live)) {
-        note_end(ledger, entry, true);
-        set_state(ledger, entry, PROGRAM_QUIET);
+    uint64_t silent = idle_timeout_ms(ledger);
+    apply_due_counts(ledger, now);
+    for (entry_t *entry = g_queue_peek_head(&ledger->active);
+         entry != NULL && entry->last_call_at + silent < now;
+         entry = g_queue_peek_head(&ledger->active)) {
+        record_end(ledger, entry, true);
+        set_state(ledger, entry, PROGRAM_ENDED);
     }
-    for (entry_t *entry = g_queue_peek_head(&ledger->quiet);
-         entry != NULL && entry->heard_at + REMEMBER_MS < now;
-         entry = g_queue_peek_head(&ledger->quiet)) {
-        g_queue_unlink(&ledger->quiet, &entry->link);
+    for (entry_t *entry = g_queue_peek_head(&ledger->inactive);
+         entry != NULL && entry->last_call_at + RETENTION_MS < now;
+         entry = g_queue_peek_head(&ledger->inactive)) {
+        g_queue_unlink(&ledger->inactive, &entry->link);
         g_hash_table_remove(ledger->programs, &entry->id);
     }
 }
 
-static entry_t *remember(program_ledger_t *ledger, const program_call_t *call,
-                         program_state_t state, uint64_t now) {
-    if (g_hash_table_size(ledger->programs) >= PROGRAMS_MAXIMUM)
+static entry_t *add_program(program_ledger_t *ledger, const program_call_t *call,
+                            program_state_t state, uint64_t now) {
+    if (g_hash_table_size(ledger->programs) >= PROGRAMS_MAX)
         return NULL;
     entry_t *entry = g_new0(entry_t, 1);
     entry->id = call->program;
-    entry->heard_at = now;
+    entry->last_call_at = now;
     entry->counts = counts_of(ledger, call->begun ? 0 : call->kind);
     entry->state = state;
-    entry->whole = !call->begun;
+    entry->complete = !call->begun;
     entry->link.data = entry;
     g_hash_table_insert(ledger->programs, &entry->id, entry);
     g_queue_push_tail_link(queue_of(ledger, entry), &entry->link);
     return entry;
 }
 
-static void note_gap(program_ledger_t *ledger, double gap) {
-    double off = fabs(gap - ledger->gap_ms);
-    ledger->gap_ms += GAP_PART * (gap - ledger->gap_ms);
-    ledger->gap_deviation_ms += GAP_PART * (off - ledger->gap_deviation_ms);
+static void record_gap(program_ledger_t *ledger, double gap) {
+    double deviation = fabs(gap - ledger->gap_ms);
+    ledger->gap_ms += GAP_GAIN * (gap - ledger->gap_ms);
+    ledger->gap_deviation_ms += GAP_GAIN * (deviation - ledger->gap_deviation_ms);
 }
 
-/** A call of a program that is let in. */
-static void hear(program_ledger_t *ledger, entry_t *entry, bool waits, uint64_t now) {
-    if (entry->state == PROGRAM_QUIET)
-        note_end(ledger, entry, false);
-    /* Programs that wait for tokens would ask for more: their pauses would let in too many. */
-    if (entry->calls > 0 && !entry->waits)
-        note_gap(ledger, (double)(now - entry->heard_at));
-    entry->waits = waits;
+/** Records an admitted call. */
+static void record_admitted_call(program_ledger_t *ledger, entry_t *entry, bool waited,
+                                 uint64_t now) {
+    if (entry->state == PROGRAM_ENDED)
+        record_end(ledger, entry, false);
+    /* Pauses of programs that waited for tokens would overestimate the gap and admit too many. */
+    if (entry->calls > 0 && !entry->waited)
+        record_gap(ledger, (double)(now - entry->last_call_at));
+    entry->waited = waited;
     entry->calls++;
-    entry->heard_at = now;
-    note_call(ledger, entry, now);
-    set_state(ledger, entry, PROGRAM_LIVE);
+    entry->last_call_at = now;
+    schedule_count(ledger, entry, now);
+    set_state(ledger, entry, PROGRAM_ACTIVE);
 }
 
-static void hear_refused(program_ledger_t *ledger, entry_t *entry, uint64_t now) {
-    entry->heard_at = now;
+static void record_refused_call(program_ledger_t *ledger, entry_t *entry, uint64_t now) {
+    entry->last_call_at = now;
     set_state(ledger, entry, PROGRAM_REFUSED);
 }
 
-/* What is owed. */
-
-/** Programs are as likely to make a call in any ms of their pauses. */
+/** Calls are assumed to be evenly distributed over the gap. */
 static double gap_ms(const program_ledger_t *ledger) {
     return fmax(ledger->gap_ms, 1);
 }
 
 static bool is_endless(program_ledger_t *ledger, const entry_t *entry) {
-    call_counts_t *counts = telling(ledger, entry->counts);
-    return call_counts_known(counts) && entry->calls > call_counts_most(counts);
+    call_counts_t *counts = forecast_counts(ledger, entry->counts);
+    return call_counts_sufficient(counts) && entry->calls > call_counts_max_calls(counts);
 }
 
-static void add_entry(program_ledger_t *ledger, sum_t *sum, const entry_t *entry, uint64_t now) {
+static void add_entry(program_ledger_t *ledger, demand_t *demand, const entry_t *entry,
+                      uint64_t now) {
     if (is_endless(ledger, entry))
         return;
-    call_forecast_t ahead = call_counts_forecast(telling(ledger, entry->counts), entry->calls);
-    double silent = exp(-(double)(now - entry->heard_at) / gap_ms(ledger));
-    double alive = ahead.chance * silent / (ahead.chance * silent + 1 - ahead.chance);
+    call_forecast_t ahead =
+        call_counts_forecast(forecast_counts(ledger, entry->counts), entry->calls);
+    double silent = exp(-(double)(now - entry->last_call_at) / gap_ms(ledger));
+    double alive = ahead.continue_probability * silent /
+                   (ahead.continue_probability * silent + 1 - ahead.continue_probability);
     double mean = alive * ahead.mean;
-    sum->owed += mean;
-    sum->variance += fmax(alive * ahead.square - mean * mean, 0);
-    sum->calls_per_ms += alive / gap_ms(ledger);
+    demand->owed += mean;
+    demand->variance += fmax(alive * ahead.mean_square - mean * mean, 0);
+    demand->calls_per_ms += alive / gap_ms(ledger);
 }
 
-static const sum_t *sum_up(program_ledger_t *ledger, uint64_t now) {
-    if (ledger->summed && now < ledger->summed_at + SUM_MS)
-        return &ledger->sum;
-    ledger->summed = true;
-    ledger->summed_at = now;
-    ledger->sum = (sum_t){0};
-    if (call_counts_known(&ledger->all))
-        for (GList *link = ledger->live.head; link != NULL; link = link->next)
-            add_entry(ledger, &ledger->sum, link->data, now);
-    return &ledger->sum;
+static const demand_t *compute_demand(program_ledger_t *ledger, uint64_t now) {
+    if (ledger->demand_valid && now < ledger->demand_at + DEMAND_CACHE_MS)
+        return &ledger->demand;
+    ledger->demand_valid = true;
+    ledger->demand_at = now;
+    ledger->demand = (demand_t){0};
+    if (call_counts_sufficient(&ledger->all))
+        for (GList *link = ledger->active.head; link != NULL; link = link->next)
+            add_entry(ledger, &ledger->demand, link->data, now);
+    return &ledger->demand;
 }
 
-double program_ledger_owed(program_ledger_t *ledger, uint64_t now) {
+double program_ledger_remaining_calls(program_ledger_t *ledger, uint64_t now) {
     expire(ledger, now);
-    ledger->summed = false;
-    return sum_up(ledger, now)->owed;
+    ledger->demand_valid = false;
+    return compute_demand(ledger, now)->owed;
 }
 
-/* Admission. */
-
-/** Calls by which the share falls short of what @p sum will ask for; 0: it is enough. */
-static double lacking(const sum_t *sum, const program_share_t *share, double deviations) {
-    if (sum->calls_per_ms <= 0)
+/** Number of calls by which the share falls short of the demand; 0: it suffices. */
+static double shortfall(const demand_t *demand, const program_share_t *share, double deviations) {
+    if (demand->calls_per_ms <= 0)
         return 0;
-    double gained = share->tokens_per_ms * sum->owed / sum->calls_per_ms;
-    /* More than the bucket holds could never be kept back, and would be left unused. */
-    double margin = fmin(deviations * sqrt(sum->variance), MARGIN_PART * share->most);
-    double needed = sum->owed + margin;
+    double gained = share->tokens_per_ms * demand->owed / demand->calls_per_ms;
+    /* A larger margin could not be held by the bucket and would stay unused. */
+    double margin =
+        fmin(deviations * sqrt(demand->variance), MARGIN_MAX_FRACTION * share->max_tokens);
+    double needed = demand->owed + margin;
     return fmax(needed - gained - share->tokens, 0);
 }
 
-static sum_t with_one_more(const program_ledger_t *ledger, const sum_t *sum,
-                           const call_forecast_t *ahead) {
-    return (sum_t){
-        .owed = sum->owed + ahead->mean,
-        .variance = sum->variance + fmax(ahead->square - ahead->mean * ahead->mean, 0),
-        .calls_per_ms = sum->calls_per_ms + 1 / gap_ms(ledger),
+static demand_t with_one_more(const program_ledger_t *ledger, const demand_t *demand,
+                              const call_forecast_t *ahead) {
+    return (demand_t){
+        .owed = demand->owed + ahead->mean,
+        .variance = demand->variance + fmax(ahead->mean_square - ahead->mean * ahead->mean, 0),
+        .calls_per_ms = demand->calls_per_ms + 1 / gap_ms(ledger),
     };
 }
 
-/** Whether one more program can be carried through. */
-static program_admission_t judge(program_ledger_t *ledger, call_counts_t *counts,
-                                 const program_share_t *share, uint64_t now) {
-    program_admission_t admission = {.under_way = ledger->live.length};
-    double lacks = fmax(1 - share->tokens - share->tokens_per_ms * SOON_MS, 0);
-    if (call_counts_known(&ledger->all)) {
-        const sum_t *sum = sum_up(ledger, now);
-        call_forecast_t ahead = call_counts_forecast(telling(ledger, counts), 0);
-        sum_t more = with_one_more(ledger, sum, &ahead);
-        bool few = share->tokens_per_ms * gap_ms(ledger) < CARRIES_FEW;
-        if (ledger->live.length > 0)
-            lacks = fmax(lacks, few ? lacking(sum, share, 0) : lacking(&more, share, DEVIATIONS));
-        admission.owed = sum->owed;
+/** Decides whether one more program can be completed. */
+static program_admission_t evaluate(program_ledger_t *ledger, call_counts_t *counts,
+                                    const program_share_t *share, uint64_t now) {
+    program_admission_t admission = {.under_way = ledger->active.length};
+    double missing = fmax(1 - share->tokens - share->tokens_per_ms * SOON_MS, 0);
+    if (call_counts_sufficient(&ledger->all)) {
+        const demand_t *demand = compute_demand(ledger, now);
+        call_forecast_t ahead = call_counts_forecast(forecast_counts(ledger, counts), 0);
+        demand_t more = with_one_more(ledger, demand, &ahead);
+        bool few = share->tokens_per_ms * gap_ms(ledger) < FEW_PROGRAMS;
+        if (ledger->active.length > 0)
+            missing = fmax(missing, few ? shortfall(demand, share, 0)
+                                        : shortfall(&more, share, MARGIN_DEVIATIONS));
+        admission.owed = demand->owed;
         admission.expected = ahead.mean;
-        if (lacks <= 0)
-            ledger->sum = more;
+        if (missing <= 0)
+            ledger->demand = more;
     }
-    admission.admitted = lacks <= 0;
+    admission.admitted = missing <= 0;
     if (!admission.admitted)
-        admission.wait_ms = (uint32_t)CLAMP(ceil(lacks / fmax(share->tokens_per_ms, 1e-6)),
-                                            (double)WAIT_LEAST_MS, (double)WAIT_MOST_MS);
+        admission.wait_ms = (uint32_t)CLAMP(ceil(missing / fmax(share->tokens_per_ms, 1e-6)),
+                                            (double)WAIT_MIN_MS, (double)WAIT_MAX_MS);
     return admission;
 }
 
 program_admission_t program_ledger_admit(program_ledger_t *ledger, const program_call_t *call,
-                                         const program_share_t *share, bool may_remember,
-                                         uint64_t now) {
+                                         const program_share_t *share, bool may_add, uint64_t now) {
     expire(ledger, now);
     entry_t *entry = g_hash_table_lookup(ledger->programs, &call->program);
     bool refused = entry != NULL && entry->state == PROGRAM_REFUSED;
     bool begun = call->begun || (entry != NULL && !refused);
-    program_admission_t admission = {.admitted = true, .under_way = ledger->live.length};
+    program_admission_t admission = {.admitted = true, .under_way = ledger->active.length};
     bool endless = entry != NULL && begun && is_endless(ledger, entry);
     if (!begun || endless)
-        admission = judge(ledger, entry == NULL ? counts_of(ledger, call->kind) : entry->counts,
-                          share, now);
+        admission = evaluate(ledger, entry == NULL ? counts_of(ledger, call->kind) : entry->counts,
+                             share, now);
     if (refused && !call->begun && call->late) {
         admission.admitted = false;
-        admission.wait_ms = WAIT_MOST_MS;
+        admission.wait_ms = WAIT_MAX_MS;
     }
     admission.begun = begun && !endless;
     admission.readmitted = refused && admission.admitted;
-    if (entry == NULL && may_remember)
-        entry = remember(ledger, call, admission.admitted ? PROGRAM_LIVE : PROGRAM_REFUSED, now);
+    if (entry == NULL && may_add)
+        entry =
+            add_program(ledger, call, admission.admitted ? PROGRAM_ACTIVE : PROGRAM_REFUSED, now);
     if (entry == NULL)
         return admission;
     if (admission.admitted)
-        hear(ledger, entry, share->tokens < 1, now);
+        record_admitted_call(ledger, entry, share->tokens < 1, now);
     else if (entry->state == PROGRAM_REFUSED)
-        hear_refused(ledger, entry, now);
+        record_refused_call(ledger, entry, now);
     return admission;
 }
--- a/src/core/admission/program_ledger.h
+++ b/src/core/admission/program_ledger.h
@@ -1,20 +1,18 @@
 /**
  * @file program_ledger.h
- * Which programs of a tenant with a limit are under way at one member of the store group, what they
- * will still ask for, and whether one more can be carried through.
+ * Tracks the active programs of a tenant with a limit at one member of the store group, forecasts
+ * their remaining calls and decides whether to admit another program.
  *
- * A limit is spent on programs that have begun first. A new program is admitted if the member's
- * part of the limit covers, over the time that programs take, what those under way will still ask
- * for and what the new one will. What a program will still ask for is estimated from the programs
- * of its kind: the distribution of their calls, not its mean (call_counts.h). A program that falls
- * silent gives its part back. One that makes many times the calls of its kind is asked anew at
- * each: it gets what the others leave. A program that was refused until its time is over
- * doesn't begin: it could hardly end while its caller still waits for it, and what it used up would
- * be lost.
+ * Active programs take precedence. A new program is admitted if the member's part of the limit
+ * covers the forecast calls of the active programs and of the new one. The forecast uses the
+ * distribution of calls of programs of the same kind (call_counts.h). An idle program releases its
+ * part. A program with many times the typical number of calls is evaluated as a new one at each
+ * call. A program that was refused until its deadline passed is not admitted: its caller would
+ * give up before it could end, and its calls would be wasted.
  *
- * Decision code: no I/O, clock or thread; an object belongs to one thread. Times are ms of the
- * caller's steady clock. In memory only: a member that has lost it takes each call that says that
- * its program has begun for one of a program under way.
+ * Decision code: no I/O, clock or threads; an object belongs to one thread. Times are ms of the
+ * caller's steady clock. The state is in memory only: after its loss, a call that reports its
+ * program as begun is accepted as one of an active program.
  */
 #ifndef RUDDERWAY_CORE_ADMISSION_PROGRAM_LEDGER_H
 #define RUDDERWAY_CORE_ADMISSION_PROGRAM_LEDGER_H
@@ -26,40 +24,40 @@
 
 /** One call of a program. */
 typedef struct {
-    uint64_t program; /**< Hash of its id. */
-    uint64_t kind;    /**< Hash of the route by which the program came; 0: unknown. */
-    bool begun;       /**< The program has had an answer before, as the caller of this knows. */
-    bool late;        /**< The time by which the program should have ended is over. */
+    uint64_t program; /**< Hash of the program id. */
+    uint64_t kind;    /**< Hash of the route of the program; 0: unknown. */
+    bool begun;       /**< The program has received a response before, according to the caller. */
+    bool late;        /**< The program's deadline has passed. */
 } program_call_t;
 
-/** What a member's part of the limit can give. */
+/** Capacity of a member's part of the limit. */
 typedef struct {
-    double tokens;        /**< Held now; negative: in debt. */
-    double tokens_per_ms; /**< Gained. */
-    double most;          /**< Held at most. */
+    double tokens;        /**< Available; negative: in debt. */
+    double tokens_per_ms; /**< Refill rate. */
+    double max_tokens;    /**< Bucket size. */
 } program_share_t;
 
 typedef struct {
-    bool admitted;      /**< Or under way already. */
-    bool begun;         /**< Under way already. */
-    bool readmitted;    /**< It was refused before. */
-    uint32_t wait_ms;   /**< Not admitted: there is room for a program of its kind in so long. */
-    double owed;        /**< Calls that those under way will still make, */
-    double expected;    /**< and the new one. 0: not looked at. */
-    unsigned under_way; /**< Programs. */
+    bool admitted;      /**< True also for an active program. */
+    bool begun;         /**< The program was active before. */
+    bool readmitted;    /**< Admitted after an earlier refusal. */
+    uint32_t wait_ms;   /**< Refused: time until a program of its kind may be admitted. */
+    double owed;        /**< Forecast calls of the active programs. */
+    double expected;    /**< Forecast calls of the new program; 0: not evaluated. */
+    unsigned under_way; /**< Active programs. */
 } program_admission_t;
 
 program_ledger_t *program_ledger_new(void);
 void program_ledger_free(program_ledger_t *ledger);
 /**
- * Whether a call may ask for a token; notes the call if so. With @p remember false a program that
- * isn't known yet is not remembered.
+ * Decides whether a call may request a token, and records it if so. With @p remember false an
+ * unknown program is not tracked.
  */
 program_admission_t program_ledger_admit(program_ledger_t *ledger, const program_call_t *call,
                                          const program_share_t *share, bool remember, uint64_t now);
-/** Calls that the programs under way will still make, as far as can be told. */
-double program_ledger_owed(program_ledger_t *ledger, uint64_t now);
-/** Programs remembered, under way or not. */
+/** Forecast remaining calls of the active programs. */
+double program_ledger_remaining_calls(program_ledger_t *ledger, uint64_t now);
+/** Tracked programs, active or not. */
 unsigned program_ledger_size(const program_ledger_t *ledger);
 
 #endif
--- a/tests/unit/admission_test.cc
+++ b/tests/unit/admission_test.cc
@@ -43,18 +43,18 @@
 
 void see_program(call_counts_t *counts, unsigned calls, bool ended = true) {
     for (unsigned i = 1; i <= calls; i++)
-        call_counts_note_call(counts, i);
+        call_counts_record_call(counts, i);
     if (ended)
-        call_counts_note_end(counts, calls, true);
+        call_counts_record_end(counts, calls, true);
 }
 
 TEST(CallCounts, KnowsNothingUntilSomeProgramsHaveEnded) {
     call_counts_t counts = {};
     for (int i = 0; i < 7; i++)
         see_program(&counts, 4);
-    EXPECT_FALSE(call_counts_known(&counts));
+    EXPECT_FALSE(call_counts_sufficient(&counts));
     see_program(&counts, 4);
-    EXPECT_TRUE(call_counts_known(&counts));
+    EXPECT_TRUE(call_counts_sufficient(&counts));
     EXPECT_NEAR(call_counts_forecast(&counts, 0).mean, 4, 0.6);
 }
 
@@ -66,7 +66,7 @@
     }
     EXPECT_NEAR(call_counts_forecast(&counts, 0).mean, 11, 1);
     call_forecast_t after_two = call_counts_forecast(&counts, 2);
-    EXPECT_NEAR(after_two.chance, 0.5, 0.05);
+    EXPECT_NEAR(after_two.continue_probability, 0.5, 0.05);
     EXPECT_NEAR(after_two.mean, 18, 2) << "if it goes on";
     EXPECT_NEAR(call_counts_forecast(&counts, 15).mean, 5, 1);
 }
@@ -103,7 +103,7 @@
             for (unsigned i = 0; i < programs; i++)
                 call(1000000 + i, now);
         now += 20000;
-        program_ledger_owed(ledger, now);
+        program_ledger_remaining_calls(ledger, now);
         return now;
     }
     program_ledger_t *ledger = nullptr;
@@ -136,8 +136,8 @@
     uint64_t now = learn(50, 10);
     while (call(now, now, false, {40, 0.1, 40}).admitted)
         now++;
-    EXPECT_GT(program_ledger_owed(ledger, now), 50);
-    EXPECT_LT(program_ledger_owed(ledger, now + 3000), 1);
+    EXPECT_GT(program_ledger_remaining_calls(ledger, now), 50);
+    EXPECT_LT(program_ledger_remaining_calls(ledger, now + 3000), 1);
     EXPECT_TRUE(call(1, now + 3000, false, {40, 0.1, 40}).admitted);
 }
 
@@ -184,8 +184,8 @@
     for (uint64_t i = 1; i <= 20000; i++)
         EXPECT_TRUE(call(i, 10).admitted);
     EXPECT_EQ(program_ledger_size(ledger), 10000u);
-    program_ledger_owed(ledger, 60000);
-    program_ledger_owed(ledger, 120000);
+    program_ledger_remaining_calls(ledger, 60000);
+    program_ledger_remaining_calls(ledger, 120000);
     EXPECT_EQ(program_ledger_size(ledger), 0u);
 }
 
