--- a/src/core/quota/quota_choice.c
+++ b/src/core/quota/quota_choice.c
@@ -14,7 +14,7 @@
     return !member->asked && member->empty_until <= now;
 }
 
-/** What to do when no member may have a token: names the first that will have one again. */
+/** Result if no member may have a token: names the first that will have one. */
 static quota_decision_t refuse(const quota_member_t *members, unsigned count, unsigned shares,
                                uint64_t now) {
     quota_decision_t decision = {.step = QUOTA_UNREACHABLE};
@@ -29,7 +29,7 @@
     return decision;
 }
 
-/** Index of the member that comes after @p skip others of those that may have a token. */
+/** Index of the member after @p skip others that may have a token. */
 static unsigned nth_with_token(const quota_member_t *members, unsigned count, unsigned shares,
                                uint64_t now, unsigned skip) {
     unsigned index = 0;
--- a/src/core/quota/quota_choice.h
+++ b/src/core/quota/quota_choice.h
@@ -1,13 +1,12 @@
 /**
  * @file quota_choice.h
- * Which member of the store group a gateway asks for a tenant's token.
+ * Selects the member of the store group that a gateway asks for a token of a tenant.
  *
- * A limit is split among the first members by the tenant's own ranking that can be reached (all of
- * them for all but the smallest limits). Any of these may be asked; one that is not known to be out
- * of tokens is chosen by lot, so that the members' buckets empty alike. A tenant is refused once
- * every one of them is out of tokens.
+ * A limit is split among the first reachable members by the tenant's ranking (all of them unless
+ * the limit is small). The gateway asks a random one of these that is not known to be out of
+ * tokens, so that the buckets drain evenly. A call is refused once all of them are out of tokens.
  *
- * Decision code: no I/O, clock or thread. Times are milliseconds of the caller's steady clock.
+ * Decision code: no I/O, clock or threads. Times are ms of the caller's steady clock.
  */
 #ifndef RUDDERWAY_CORE_QUOTA_QUOTA_CHOICE_H
 #define RUDDERWAY_CORE_QUOTA_QUOTA_CHOICE_H
@@ -15,32 +14,32 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What a gateway knows of a member, for one tenant. */
+/** A gateway's view of a member, for one tenant. */
 typedef struct {
     bool reachable;
-    bool asked;           /**< For the present call, in vain. */
-    uint64_t rank;        /**< By the tenant's ranking: the lower, the earlier. */
-    uint64_t empty_until; /**< It said that it has no token until then. */
+    bool asked;           /**< Already asked for this call, without success. */
+    uint64_t rank;        /**< Position in the tenant's ranking; lower comes first. */
+    uint64_t empty_until; /**< The member has reported no token until then. */
 } quota_member_t;
 
 typedef enum {
     QUOTA_ASK,         /**< Ask the member chosen. */
-    QUOTA_REFUSE,      /**< Every one is out of tokens. */
-    QUOTA_UNREACHABLE, /**< None can be reached, or those that can do not answer. */
+    QUOTA_REFUSE,      /**< All members are out of tokens. */
+    QUOTA_UNREACHABLE, /**< No member is reachable, or the reachable ones do not respond. */
 } quota_step_t;
 
 typedef struct {
     quota_step_t step;
-    unsigned member;  /**< The member to ask; of a refusal, the first to have a token again, */
-    uint32_t wait_ms; /**< and in how long. */
+    unsigned member;  /**< The member to ask; on refusal, the first to have a token. */
+    uint32_t wait_ms; /**< On refusal, the time until then. */
 } quota_decision_t;
 
-/** True if the member at @p index is among the first @p shares that can be reached. */
+/** True if the member at @p index is among the first @p shares reachable members. */
 bool quota_holds_share(const quota_member_t *members, unsigned count, unsigned shares,
                        unsigned index);
 /**
- * What to do for a call: @p members are @p count, the limit is split among @p shares of them;
- * @p random decides among equals.
+ * Chooses among @p count members, with the limit split among @p shares of them; @p random selects
+ * among equal candidates.
  */
 quota_decision_t quota_choose(const quota_member_t *members, unsigned count, unsigned shares,
                               uint64_t now, uint32_t random);
--- a/src/core/quota/quota_table.c
+++ b/src/core/quota/quota_table.c
@@ -2,8 +2,8 @@
 
 #include <math.h>
 
-/** Tenants known at most; callers of more are refused. */
-enum { TENANTS_MAXIMUM = 10000 };
+/** Maximum number of tenants; calls of further tenants are refused. */
+enum { TENANTS_MAX = 10000 };
 
 typedef struct {
     quota_limit_t limit;
@@ -20,30 +20,30 @@
     g_hash_table_destroy(table->buckets);
 }
 
-static void fill(bucket_t *bucket, const quota_share_t *share, uint64_t now) {
+static void refill(bucket_t *bucket, const quota_share_t *share, uint64_t now) {
     double added = (double)(now - bucket->filled_at) * share->tokens_per_ms;
-    bucket->tokens = fmin(bucket->tokens + added, share->most);
+    bucket->tokens = fmin(bucket->tokens + added, share->max_tokens);
     bucket->filled_at = now;
 }
 
-/** The tenant's bucket, filled up to @p now; NULL if there are too many tenants. */
-static bucket_t *find(quota_table_t *table, const char *tenant, const quota_limit_t *limit,
-                      unsigned members, uint64_t now, quota_share_t *share) {
+/** The tenant's bucket, refilled up to @p now; NULL if there are too many tenants. */
+static bucket_t *obtain_bucket(quota_table_t *table, const char *tenant, const quota_limit_t *limit,
+                               unsigned members, uint64_t now, quota_share_t *share) {
     bucket_t *bucket = g_hash_table_lookup(table->buckets, tenant);
-    bool known = bucket != NULL;
-    if (!known && g_hash_table_size(table->buckets) >= TENANTS_MAXIMUM)
+    bool exists = bucket != NULL;
+    if (!exists && g_hash_table_size(table->buckets) >= TENANTS_MAX)
         return NULL;
-    if (!known) {
+    if (!exists) {
         bucket = g_new0(bucket_t, 1);
         bucket->filled_at = now;
         g_hash_table_insert(table->buckets, g_strdup(tenant), bucket);
     }
-    if (!known || limit->version > bucket->limit.version)
+    if (!exists || limit->version > bucket->limit.version)
         bucket->limit = *limit;
     *share = quota_split_share(&table->bounds, &bucket->limit, members);
-    if (!known)
-        bucket->tokens = share->first;
-    fill(bucket, share, now);
+    if (!exists)
+        bucket->tokens = share->initial_tokens;
+    refill(bucket, share, now);
     return bucket;
 }
 
@@ -54,14 +54,14 @@
 }
 
 quota_answer_t quota_table_take(quota_table_t *table, const char *tenant,
-                                const quota_limit_t *limit, unsigned members, uint32_t patience_ms,
+                                const quota_limit_t *limit, unsigned members, uint32_t timeout_ms,
                                 uint64_t now) {
     quota_share_t share;
-    bucket_t *bucket = find(table, tenant, limit, members, now, &share);
+    bucket_t *bucket = obtain_bucket(table, tenant, limit, members, now, &share);
     quota_answer_t answer = {0};
     if (bucket != NULL)
         answer.wait_ms = time_until(bucket, &share, 1);
-    if (bucket != NULL && answer.wait_ms <= MIN(patience_ms, quota_split_promise_ms(&share))) {
+    if (bucket != NULL && answer.wait_ms <= MIN(timeout_ms, quota_split_promise_ms(&share))) {
         bucket->tokens -= 1;
         answer.granted = true;
     }
@@ -72,7 +72,7 @@
 
 bool quota_table_view(quota_table_t *table, const char *tenant, const quota_limit_t *limit,
                       unsigned members, uint64_t now, quota_view_t *view) {
-    const bucket_t *bucket = find(table, tenant, limit, members, now, &view->share);
+    const bucket_t *bucket = obtain_bucket(table, tenant, limit, members, now, &view->share);
     if (bucket == NULL)
         return false;
     view->limit = bucket->limit;
@@ -83,12 +83,12 @@
 void quota_table_charge(quota_table_t *table, const char *tenant, const quota_limit_t *limit,
                         unsigned members, uint64_t now) {
     quota_share_t share;
-    bucket_t *bucket = find(table, tenant, limit, members, now, &share);
+    bucket_t *bucket = obtain_bucket(table, tenant, limit, members, now, &share);
     if (bucket == NULL)
         return;
     table->charged++;
-    /* A debt beyond what the bucket holds would punish callers long after. */
-    if (bucket->tokens > -share.most)
+    /* A larger debt would delay callers for too long. */
+    if (bucket->tokens > -share.max_tokens)
         bucket->tokens -= 1;
 }
 
--- a/src/core/quota/quota_table.h
+++ b/src/core/quota/quota_table.h
@@ -1,9 +1,9 @@
 /**
  * @file quota_table.h
- * A member's shares of the tenants' limits: one token bucket each. In memory only; see
- * quota_split.h for why nothing of it needs to be kept.
+ * A member's shares of the tenants' limits: one token bucket each. The state is in memory only;
+ * quota_split.h explains why it may be lost.
  *
- * Decision code: no I/O, clock or thread. Times are milliseconds of the caller's steady clock.
+ * Decision code: no I/O, clock or threads. Times are ms of the caller's steady clock.
  */
 #ifndef RUDDERWAY_CORE_QUOTA_QUOTA_TABLE_H
 #define RUDDERWAY_CORE_QUOTA_QUOTA_TABLE_H
@@ -17,19 +17,19 @@
     quota_bounds_t bounds;
     GHashTable *buckets; /**< Tenant to its bucket. */
     uint64_t granted;    /**< Tokens, of all tenants. */
-    uint64_t refused;    /**< Requests for one that found none. */
-    uint64_t charged;    /**< Tokens that were used without asking. */
+    uint64_t refused;    /**< Requests without a token. */
+    uint64_t charged;    /**< Tokens used without a request. */
 } quota_table_t;
 
 typedef struct {
     bool granted;
-    /** Granted: the token may be used after this. Not: until the next one is there. */
+    /** Granted: time until the token may be used. Refused: time until the next token. */
     uint32_t wait_ms;
 } quota_answer_t;
 
-/** What a member holds of a tenant's limit. */
+/** A member's state of a tenant's limit. */
 typedef struct {
-    quota_limit_t limit; /**< The latest known. */
+    quota_limit_t limit;
     quota_share_t share;
     double tokens; /**< Negative: in debt. */
 } quota_view_t;
@@ -37,24 +37,24 @@
 void quota_table_init(quota_table_t *table, const quota_bounds_t *bounds);
 void quota_table_clear(quota_table_t *table);
 /**
- * Takes a token of @p tenant, whose limit is split among @p members, if there is one, or will be
- * within @p patience_ms: then the bucket is left in debt, and the call waits.
+ * Takes a token of @p tenant, whose limit is split among @p members, if one is available or will
+ * be within @p timeout_ms. In the latter case the bucket goes into debt and the call waits.
  */
 quota_answer_t quota_table_take(quota_table_t *table, const char *tenant,
-                                const quota_limit_t *limit, unsigned members, uint32_t patience_ms,
+                                const quota_limit_t *limit, unsigned members, uint32_t timeout_ms,
                                 uint64_t now);
-/** Fills in what is held of @p tenant's limit; false if there are too many tenants. */
+/** Reads the state of @p tenant's limit; false if there are too many tenants. */
 bool quota_table_view(quota_table_t *table, const char *tenant, const quota_limit_t *limit,
                       unsigned members, uint64_t now, quota_view_t *view);
-/** Takes a token that has been used already: the bucket may be left in debt. */
+/** Takes a token that has already been used; the bucket may go into debt. */
 void quota_table_charge(quota_table_t *table, const char *tenant, const quota_limit_t *limit,
                         unsigned members, uint64_t now);
 /**
- * Forgets what it held: what it may grant has been another's meanwhile, and it begins nearly empty.
- * A member that kept its full buckets while another had its place granted a tenth too much.
+ * Discards all buckets, which start nearly empty again. Required after another member has held
+ * this place, as keeping full buckets would exceed the bounds.
  */
 void quota_table_restart(quota_table_t *table);
-/** Forgets tenants of which nothing was heard since @p before. */
+/** Removes tenants without a request since @p before. */
 void quota_table_expire(quota_table_t *table, uint64_t before);
 
 #endif
--- a/tests/unit/quota_test.cc
+++ b/tests/unit/quota_test.cc
@@ -38,11 +38,11 @@
                 unsigned count = quota_split_count(&bounds, &limit, members);
                 quota_share_t share = quota_split_share(&bounds, &limit, members);
                 double span = bounds.window_ms + quota_split_grant_ms(&bounds);
-                double one = share.most + share.first + share.tokens_per_ms * span;
+                double one = share.max_tokens + share.initial_tokens + share.tokens_per_ms * span;
                 unsigned most = count < members ? count + 1 : count;
                 EXPECT_LE(one * most, allowed(limit) + 1e-6)
                     << rate << " " << burst << " " << members;
-                EXPECT_GE(share.most, 1);
+                EXPECT_GE(share.max_tokens, 1);
                 EXPECT_GE(share.tokens_per_ms * count * 1000, rate * 0.999);
             }
 }
