--- a/src/core/budget/budget_decision.c
+++ b/src/core/budget/budget_decision.c
@@ -1,16 +1,16 @@
 #include "core/budget/budget_decision.h"
 
-static bool same_summary(const budget_summary_t *a, const budget_summary_t *b) {
+static bool summaries_equal(const budget_summary_t *a, const budget_summary_t *b) {
     return a->charged == b->charged && a->digest == b->digest;
 }
 
 budget_decision_t budget_decide(const budget_summary_t *summaries, unsigned count, unsigned quorum,
                                 uint64_t budget) {
     for (unsigned i = 0; i < count; i++) {
-        unsigned alike = 0;
+        unsigned matching = 0;
         for (unsigned j = 0; j < count; j++)
-            alike += same_summary(&summaries[i], &summaries[j]);
-        if (alike >= quorum)
+            matching += summaries_equal(&summaries[i], &summaries[j]);
+        if (matching >= quorum)
             return summaries[i].charged <= budget ? BUDGET_GRANTED : BUDGET_REFUSED;
     }
     return BUDGET_UNDECIDED;
--- a/src/core/budget/budget_decision.h
+++ b/src/core/budget/budget_decision.h
@@ -1,20 +1,20 @@
 /**
  * @file budget_decision.h
- * Whether a program's budget holds a call, decided over replicas that may each have missed some
- * of the program's charges. No single replica's sum will do, and neither will a majority of
- * replicas each within the budget: each may lack another charge.
+ * Decides whether a program's budget covers a call, over replicas that may each have missed some
+ * charges. Neither the sum of a single replica nor a majority of replicas within the budget
+ * suffices: each may lack a different charge.
  *
- * Every replica takes the reserve first and answers with its charges in short.
+ * Each replica records the reserve first and responds with a summary of its charges.
  *
- * 1. If a quorum of replicas answers the same summary, that is the sum. Of two calls that were
- *    both decided so, the one that came later to a replica of both quorums counts the other.
- * 2. Otherwise the charges themselves are read, from a quorum of those that took the reserve, and
- *    joined; a settled charge goes before its reserve. What is read after the reserve was taken
- *    holds every call that came before it at any of these replicas.
+ * 1. If a quorum of replicas responds with the same summary, that sum is used. Any two such
+ * quorums share a replica, so the later of two calls counts the earlier one.
+ * 2. Otherwise the charges themselves are read from a quorum of the replicas that recorded the
+ * reserve, and merged; a settled charge replaces its reserve. As they are read after the reserve
+ * was recorded, they include every call recorded earlier at any of these replicas.
  *
- * So of any calls of a program, in whatever order, one counts all others that were granted.
+ * So of any set of calls of a program, in any order, one counts all others that were granted.
  *
- * Decision code: no I/O, clock or thread.
+ * Decision code: no I/O, clock or threads.
  */
 #ifndef RUDDERWAY_CORE_BUDGET_BUDGET_DECISION_H
 #define RUDDERWAY_CORE_BUDGET_BUDGET_DECISION_H
@@ -23,7 +23,7 @@
 
 typedef enum { BUDGET_GRANTED, BUDGET_REFUSED, BUDGET_UNDECIDED } budget_decision_t;
 
-/** Decides by @p count replicas' summaries, each taken with the reserve in it. */
+/** Decides by the summaries of @p count replicas, each including the call's reserve. */
 budget_decision_t budget_decide(const budget_summary_t *summaries, unsigned count, unsigned quorum,
                                 uint64_t budget);
 
--- a/src/core/budget/budget_table.c
+++ b/src/core/budget/budget_table.c
@@ -3,11 +3,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/**
- * Memory of a charge with its call's id and its place in its program's table: resident memory grew
- * by 210 bytes with each of 70,000, eight a program, when each had a copy of its program's id (32
- * bytes).
- */
+/** Estimated memory of a charge, with its call id and hash table entry. */
 enum { CHARGE_BYTES = 180 };
 
 typedef struct {
@@ -30,7 +26,7 @@
     return copy;
 }
 
-/** Of a table: the program's id is shared by its charges. */
+/** Frees a charge of a table; the program id is shared. */
 static void free_charge(gpointer data) {
     budget_charge_t *charge = data;
     g_free(charge->call);
@@ -76,7 +72,7 @@
     return charge->settled ? charge->spent : charge->most;
 }
 
-/** Part of a charge in its program's digest; 0 for one that was just made. */
+/** Contribution of a charge to its program's digest; 0 for a new charge. */
 static uint64_t charge_digest(const budget_charge_t *charge) {
     if (charge->most == 0 && !charge->settled)
         return 0;
@@ -101,21 +97,23 @@
     return charge;
 }
 
-/** Sets whether the charge is on disk as it stands, and with it the digest of its bucket. */
-static void set_kept(budget_table_t *table, budget_charge_t *charge, bool kept) {
-    if (table->buckets == NULL || charge->kept == kept)
+/**
+ * Sets whether the charge is on disk in its current state, and updates the digest of its bucket.
+ */
+static void set_durable(budget_table_t *table, budget_charge_t *charge, bool durable) {
+    if (table->buckets == NULL || charge->durable == durable)
         return;
-    charge->kept = kept;
+    charge->durable = durable;
     table->buckets->digests[charge->bucket] ^=
         digest_of_record(charge->call, 2 * charge_amount(charge) + charge->settled);
 }
 
-/** Sets a charge's state and keeps the program's sum. */
+/** Sets a charge's state and updates the program's summary. */
 static void set_charge(budget_table_t *table, program_charges_t *program, budget_charge_t *charge,
                        uint64_t most, bool settled, uint64_t spent) {
     if (charge->most == most && charge->settled == settled && charge->spent == spent)
         return;
-    set_kept(table, charge, false);
+    set_durable(table, charge, false);
     program->summary.charged -= charge_amount(charge);
     program->summary.digest ^= charge_digest(charge);
     charge->most = most;
@@ -168,14 +166,14 @@
     budget_charge_t *charge = find_charge(table, written->program, written->call);
     if (charge == NULL || charge->settled != written->settled ||
         charge_amount(charge) != charge_amount(written))
-        return; /* It has changed since, and its new state has a write of its own. */
-    set_kept(table, charge, true);
+        return; /* Changed since; the new state has its own write. */
+    set_durable(table, charge, true);
 }
 
 bool budget_table_covers(const budget_table_t *table, const budget_charge_t *charge) {
-    const budget_charge_t *known = find_charge(table, charge->program, charge->call);
-    bool counts = known != NULL && (table->buckets == NULL || known->kept);
-    return counts && (known->settled || !charge->settled);
+    const budget_charge_t *own = find_charge(table, charge->program, charge->call);
+    bool valid = own != NULL && (table->buckets == NULL || own->durable);
+    return valid && (own->settled || !charge->settled);
 }
 
 uint64_t budget_table_charged(const budget_table_t *table, const char *program_id) {
@@ -183,14 +181,14 @@
     return program == NULL ? 0 : program->summary.charged;
 }
 
-static void leave_table(budget_table_t *table, const program_charges_t *program) {
+static void remove_from_buckets(budget_table_t *table, const program_charges_t *program) {
     table->charges -= g_hash_table_size(program->charges);
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, program->charges);
     while (table->buckets != NULL && g_hash_table_iter_next(&iterator, NULL, &value)) {
         budget_charge_t *charge = value;
-        set_kept(table, charge, false);
+        set_durable(table, charge, false);
         table->buckets->records[charge->bucket]--;
     }
 }
@@ -203,7 +201,7 @@
         const program_charges_t *program = value;
         if (program->changed_at >= before)
             continue;
-        leave_table(table, program);
+        remove_from_buckets(table, program);
         g_hash_table_iter_remove(&iterator);
     }
 }
--- a/src/core/budget/budget_table.h
+++ b/src/core/budget/budget_table.h
@@ -1,11 +1,11 @@
 /**
  * @file budget_table.h
- * What the calls of each program may have spent of its budget, as one replica knows it. A call
- * reserves the most it can make before it is sent to an engine, and is settled with what it made.
- * A call whose end is unknown keeps its reserve. Replicas take every reserve; whether the budget
- * holds it is decided over a quorum of them, see budget_decision.h.
+ * One replica's view of the charges to each program's budget. A call reserves the maximum number
+ * of tokens that it can generate before it is sent to an engine, and is settled with the tokens
+ * that it generated. A call whose end is unknown keeps its reserve. Replicas record every reserve;
+ * whether the budget covers it is decided over a quorum, see budget_decision.h.
  *
- * Decision code: no I/O, clock or thread; times are milliseconds of the caller's steady clock.
+ * Decision code: no I/O, clock or threads; times are ms of the caller's steady clock.
  */
 #ifndef RUDDERWAY_CORE_BUDGET_BUDGET_TABLE_H
 #define RUDDERWAY_CORE_BUDGET_BUDGET_TABLE_H
@@ -16,25 +16,26 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** One call's part of its program's budget, in tokens. */
+/** Charge of one call to its program's budget, in tokens. */
 typedef struct {
     char *program;
     char *call; /**< Id of the call's attempt. */
     uint64_t most;
-    uint64_t spent; /**< What it made; only if settled. */
+    uint64_t spent; /**< Tokens generated; only if settled. */
     bool settled;
-    bool kept;       /**< In a replica's table: it is on disk as it stands. */
-    uint16_t bucket; /**< In a replica's table: of its call; see digest_buckets.h. */
+    bool durable;    /**< Replicas only: on disk in its current state. */
+    uint16_t bucket; /**< Replicas only: digest bucket of the call; see digest_buckets.h. */
 } budget_charge_t;
 
 typedef struct {
-    GHashTable *programs;      /**< Program id to its charges. */
-    digest_buckets_t *buckets; /**< A replica's: records are all, digests those of kept charges. */
-    uint64_t charges;          /**< Of all programs. */
+    GHashTable *programs; /**< Program id to its charges. */
+    digest_buckets_t
+        *buckets;     /**< Replicas only; counts all records, digests only those on disk. */
+    uint64_t charges; /**< Of all programs. */
 } budget_table_t;
 
 void budget_charge_clear(budget_charge_t *charge);
-/** A copy with strings of its own. */
+/** Deep copy. */
 budget_charge_t budget_charge_copy(const budget_charge_t *charge);
 
 void budget_table_init(budget_table_t *table);
@@ -42,36 +43,39 @@
 void budget_table_init_replica(budget_table_t *table);
 void budget_table_clear(budget_table_t *table);
 
-/** A program's charges in short: equal tables have equal summaries. */
+/** Summary of a program's charges: equal tables have equal summaries. */
 typedef struct {
-    uint64_t charged; /**< Sum of what the calls made or may still make. */
+    uint64_t charged; /**< Sum of the reserves and the settled charges. */
     uint64_t digest;  /**< Of the set of charges. */
 } budget_summary_t;
 
 /**
- * Takes a reserve of @p most tokens for @p call; a call that is known already stays as it is.
- * Returns the program's charges with it.
+ * Records a reserve of @p most tokens for @p call; an existing charge is not changed. Returns the
+ * program's summary including it.
  */
 budget_summary_t budget_table_reserve(budget_table_t *table, const char *program, const char *call,
                                       uint64_t most, uint64_t now);
-/** Replaces the reserve of @p call by what it made. */
+/** Replaces the reserve of @p call by the tokens spent. */
 void budget_table_settle(budget_table_t *table, const char *program, const char *call,
                          uint64_t spent, uint64_t now);
-/** Takes over a charge that another replica holds. */
+/** Merges a charge of another replica. */
 void budget_table_merge(budget_table_t *table, const budget_charge_t *other, uint64_t now);
 /**
- * Charge @p written is on disk now, or was read from there. What is only in memory, because its
- * write is under way or has failed, is no copy that counts: it is in no digest, and is not covered.
+ * Records that the state @p written is on disk. A charge that is only in memory, because its write
+ * is pending or has failed, is not included in digests and not covered.
  */
 void budget_table_note_kept(budget_table_t *table, const budget_charge_t *written);
-/** True if merging @p charge would change nothing, and a replica's own is on disk. */
+/**
+ * True if merging @p charge would change nothing; in a replica's table the charge must be on disk
+ * as well.
+ */
 bool budget_table_covers(const budget_table_t *table, const budget_charge_t *charge);
 bool budget_table_knows(const budget_table_t *table, const char *program, const char *call);
-/** Memory that the charges take, roughly. */
+/** Estimated memory use of the charges. */
 uint64_t budget_table_bytes(const budget_table_t *table);
-/** Sum of what the program's calls made or may still make. */
+/** Sum of the reserves and the settled charges of the program. */
 uint64_t budget_table_charged(const budget_table_t *table, const char *program);
-/** Forgets programs without a charge since @p before. */
+/** Removes programs without a change since @p before. */
 void budget_table_expire(budget_table_t *table, uint64_t before);
 /** Calls @p visit with each charge of @p program, or of all if it is NULL. */
 void budget_table_each(const budget_table_t *table, const char *program,
