--- a/src/core/retry/come_back.c
+++ b/src/core/retry/come_back.c
@@ -1,6 +1,6 @@
 #include "core/retry/come_back.h"
 
-/** What the caller waits at max_ms; told more, it comes back then. */
+/** Longest wait that the caller honours. */
 static uint32_t max_wait_ms(const come_back_t *call) {
     return call->time_left_ms / COME_BACK_HONOURED_PART;
 }
