--- a/src/core/isolation/zone_silence.c
+++ b/src/core/isolation/zone_silence.c
@@ -19,7 +19,7 @@
 }
 
 /** Time for which all members of other zones have left a probe unanswered; 0: not all have. */
-static uint64_t remote_zones_unresponsive_ms(const zone_silence_t *silence,
+static uint64_t remote_zones_unresponsive_ms(const zone_silence_t *isolation,
                                              const zone_member_t *members, unsigned count,
                                              uint64_t now) {
     uint64_t latest = 0;
@@ -30,75 +30,75 @@
         if (member->asked_at == 0)
             return 0;
         uint64_t asked =
-            member->asked_at > silence->doubt_since ? member->asked_at : silence->doubt_since;
+            member->asked_at > isolation->doubt_since ? member->asked_at : isolation->doubt_since;
         latest = asked > latest ? asked : latest;
     }
     return latest == 0 || latest > now ? 0 : now - latest;
 }
 
-static zone_silence_step_t probe_if_due(zone_silence_t *silence, uint64_t now) {
-    if (silence->asked_at > 0 && now < silence->asked_at + ZONE_PROBE_INTERVAL_MS)
+static zone_silence_step_t probe_if_due(zone_silence_t *isolation, uint64_t now) {
+    if (isolation->asked_at > 0 && now < isolation->asked_at + ZONE_PROBE_INTERVAL_MS)
         return ZONE_SILENCE_NOTHING;
-    silence->asked_at = now;
+    isolation->asked_at = now;
     return ZONE_SILENCE_ASK;
 }
 
-static void set_isolated(zone_silence_t *silence, bool cut, uint64_t now) {
-    silence->cut = cut;
-    silence->since = now;
-    silence->recovering_since = 0;
-    silence->doubt_since = 0;
+static void set_isolated(zone_silence_t *isolation, bool cut, uint64_t now) {
+    isolation->cut = cut;
+    isolation->since = now;
+    isolation->recovering_since = 0;
+    isolation->doubt_since = 0;
 }
 
-static void begin_suspicion(zone_silence_t *silence, uint64_t now) {
-    silence->doubt_since = now;
-    silence->asked_at = 0;
-    silence->reconnected = false;
+static void begin_suspicion(zone_silence_t *isolation, uint64_t now) {
+    isolation->doubt_since = now;
+    isolation->asked_at = 0;
+    isolation->reconnected = false;
 }
 
-static zone_silence_step_t check_recovery(zone_silence_t *silence, const zone_member_t *members,
+static zone_silence_step_t check_recovery(zone_silence_t *isolation, const zone_member_t *members,
                                           unsigned count, unsigned quorum, uint64_t now) {
     uint64_t recent = before(now, ZONE_PROBE_INTERVAL_MS + 2 * ZONE_LOOK_MS);
     /* Responses from before the isolation do not count. */
-    recent = recent > silence->since ? recent : silence->since;
+    recent = recent > isolation->since ? recent : isolation->since;
     if (count_received(members, count, recent) < quorum)
-        silence->recovering_since = 0;
-    else if (silence->recovering_since == 0)
-        silence->recovering_since = now;
-    else if (now >= silence->recovering_since + ZONE_RECOVERY_MS) {
-        set_isolated(silence, false, now);
+        isolation->recovering_since = 0;
+    else if (isolation->recovering_since == 0)
+        isolation->recovering_since = now;
+    else if (now >= isolation->recovering_since + ZONE_RECOVERY_MS) {
+        set_isolated(isolation, false, now);
         return ZONE_SILENCE_NOTHING;
     }
-    return probe_if_due(silence, now);
+    return probe_if_due(isolation, now);
 }
 
-zone_silence_step_t zone_silence_look(zone_silence_t *silence, const zone_member_t *members,
+zone_silence_step_t zone_silence_look(zone_silence_t *isolation, const zone_member_t *members,
                                       unsigned count, unsigned quorum, bool waiting, uint64_t now) {
-    bool check_late = now > silence->checked_at + ZONE_CHECK_LATE_MS;
-    silence->checked_at = now;
-    if (silence->cut)
-        return check_recovery(silence, members, count, quorum, now);
+    bool check_late = now > isolation->checked_at + ZONE_CHECK_LATE_MS;
+    isolation->checked_at = now;
+    if (isolation->cut)
+        return check_recovery(isolation, members, count, quorum, now);
     if (!waiting || count_received(members, count, before(now, ZONE_WAIT_MS)) >= quorum) {
-        silence->doubt_since = 0;
+        isolation->doubt_since = 0;
         return ZONE_SILENCE_NOTHING;
     }
-    if (silence->doubt_since == 0 || check_late)
-        begin_suspicion(silence, now);
-    uint64_t unresponsive_ms = remote_zones_unresponsive_ms(silence, members, count, now);
+    if (isolation->doubt_since == 0 || check_late)
+        begin_suspicion(isolation, now);
+    uint64_t unresponsive_ms = remote_zones_unresponsive_ms(isolation, members, count, now);
     if (unresponsive_ms >= ZONE_ISOLATED_AFTER_MS &&
-        local_zone_responds(members, count, silence->doubt_since)) {
-        set_isolated(silence, true, now);
-        silence->asked_at = now;
+        local_zone_responds(members, count, isolation->doubt_since)) {
+        set_isolated(isolation, true, now);
+        isolation->asked_at = now;
         return ZONE_SILENCE_ASK;
     }
-    if (unresponsive_ms >= ZONE_RECONNECT_AFTER_MS && !silence->reconnected) {
-        silence->reconnected = true;
+    if (unresponsive_ms >= ZONE_RECONNECT_AFTER_MS && !isolation->reconnected) {
+        isolation->reconnected = true;
         return ZONE_SILENCE_RECONNECT;
     }
-    return probe_if_due(silence, now);
+    return probe_if_due(isolation, now);
 }
 
-bool zone_silence_in_doubt(const zone_silence_t *silence, uint64_t now) {
-    return !silence->cut && silence->doubt_since > 0 &&
-           now < silence->doubt_since + ZONE_SUSPECT_MAX_MS;
+bool zone_silence_in_doubt(const zone_silence_t *isolation, uint64_t now) {
+    return !isolation->cut && isolation->doubt_since > 0 &&
+           now < isolation->doubt_since + ZONE_SUSPECT_MAX_MS;
 }
--- a/src/core/isolation/zone_silence.h
+++ b/src/core/isolation/zone_silence.h
@@ -68,9 +68,9 @@
  * neighbour has reported that it has none. To be called every ZONE_LOOK_MS while isolation is
  * suspected or established.
  */
-zone_silence_step_t zone_silence_look(zone_silence_t *silence, const zone_member_t *members,
+zone_silence_step_t zone_silence_look(zone_silence_t *isolation, const zone_member_t *members,
                                       unsigned count, unsigned quorum, bool waiting, uint64_t now);
 /** True while isolation is suspected but not established. */
-bool zone_silence_in_doubt(const zone_silence_t *silence, uint64_t now);
+bool zone_silence_in_doubt(const zone_silence_t *isolation, uint64_t now);
 
 #endif
--- a/tests/unit/admission_test.cc
+++ b/tests/unit/admission_test.cc
@@ -1,18 +1,7 @@
-// Programs of tenants with a limit: how many calls they make, which of them may begin, and who
-// keeps account of them. The last part plays a crowd without a network, in virtual time, through
-// the decision code of gateways and members.
-//
-// Load: a tenant that uses 0.6 of its limit of 400 calls a second asks for six times the limit from
-// 10 s to 17 s, by programs of about 4 and 9 turns with up to two tool calls each; each call is
-// tried three times as its answer says; a program's aim is 1.5 times its own time and 250 ms.
-// Callers of 10,576 programs (5 and 8 members, seeds 1 to 3) get, call by call and whole: programs
-// in their aim 2,993 and 3,855, finished 3,434 and 4,015, cut in the middle 4,819 and 0, calls
-// spent on those 16,504 and 0; of the limit at least 1.13 and 1.08 are used (windows may hold a
-// tenth more and the slack), the fullest window holds 0.97 and 0.88 of what is allowed. With a
-// member lost at 13 s (5,288 programs): in aim 1,434 and 1,466, cut 2,374 and 15; with all members
-// restarted in turn 1,475 and 1,527, 2,372 and 23; with a third of the programs fallen silent 1,507
-// and 1,872, 2,241 and 0. Within its limit (2,045 programs, limits of 3 to 400 a second) nobody is
-// refused.
+// Admission of programs of tenants with a limit: call forecasts, ledgers, homes, and a simulation
+// of a burst at six times the limit through the decision code of gateways and members. Guards
+// against programs that are refused after part of their calls have run, and against an exceeded
+// limit.
 #include <glib.h>
 
 extern "C" {
@@ -39,21 +28,19 @@
     return (limit.rate * 5.0 + limit.burst) * (1 + bounds.overage) + bounds.slack;
 }
 
-// Distribution of calls.
-
-void see_program(call_counts_t *counts, unsigned calls, bool ended = true) {
+void record_program(call_counts_t *counts, unsigned calls, bool ended = true) {
     for (unsigned i = 1; i <= calls; i++)
         call_counts_record_call(counts, i);
     if (ended)
         call_counts_record_end(counts, calls, true);
 }
 
-TEST(CallCounts, KnowsNothingUntilSomeProgramsHaveEnded) {
+TEST(CallCounts, HasNoForecastUntilEnoughProgramsHaveEnded) {
     call_counts_t counts = {};
     for (int i = 0; i < 7; i++)
-        see_program(&counts, 4);
+        record_program(&counts, 4);
     EXPECT_FALSE(call_counts_sufficient(&counts));
-    see_program(&counts, 4);
+    record_program(&counts, 4);
     EXPECT_TRUE(call_counts_sufficient(&counts));
     EXPECT_NEAR(call_counts_forecast(&counts, 0).mean, 4, 0.6);
 }
@@ -61,8 +48,8 @@
 TEST(CallCounts, AProgramThatHasMadeManyCallsIsOneOfTheLongOnes) {
     call_counts_t counts = {};
     for (int i = 0; i < 50; i++) {
-        see_program(&counts, 2);
-        see_program(&counts, 20);
+        record_program(&counts, 2);
+        record_program(&counts, 20);
     }
     EXPECT_NEAR(call_counts_forecast(&counts, 0).mean, 11, 1);
     call_forecast_t after_two = call_counts_forecast(&counts, 2);
@@ -71,17 +58,15 @@
     EXPECT_NEAR(call_counts_forecast(&counts, 15).mean, 5, 1);
 }
 
-TEST(CallCounts, ShortProgramsWhichEndFirstDontHideTheLongOnes) {
+TEST(CallCounts, ShortProgramsDoNotBiasTheForecast) {
     call_counts_t counts = {};
     for (int i = 0; i < 20; i++) {
-        see_program(&counts, 2);
-        see_program(&counts, 10, i < 2);
+        record_program(&counts, 2);
+        record_program(&counts, 10, i < 2);
     }
     EXPECT_GT(call_counts_forecast(&counts, 0).mean, 5.5);
 }
 
-// One ledger.
-
 class Ledger : public testing::Test {
   protected:
     void SetUp() override {
@@ -96,8 +81,8 @@
         program_call_t call = {program, 7, begun, late};
         return program_ledger_admit(ledger, &call, &with, true, now);
     }
-    /** Programs of @p calls that pause 200 ms each, so that their kind is known. */
-    uint64_t learn(unsigned programs, unsigned calls) {
+    /** Programs of @p calls calls with pauses of 200 ms, so that the forecast is available. */
+    uint64_t record_programs(unsigned programs, unsigned calls) {
         uint64_t now = 1000;
         for (unsigned k = 0; k < calls; k++, now += 200)
             for (unsigned i = 0; i < programs; i++)
@@ -109,31 +94,32 @@
     program_ledger_t *ledger = nullptr;
 };
 
-TEST_F(Ledger, AdmitsAsBeforeWhileNothingIsKnown) {
+TEST_F(Ledger, AdmitsByTokensWithoutAForecast) {
     for (uint64_t i = 1; i <= 100; i++)
         EXPECT_TRUE(call(i, 10, false, {1, 0.01, 40}).admitted);
-    EXPECT_FALSE(call(200, 10, false, {-5, 0.01, 40}).admitted) << "no token, and none soon";
+    EXPECT_FALSE(call(200, 10, false, {-5, 0.01, 40}).admitted)
+        << "no token, and none available soon";
 }
 
-TEST_F(Ledger, RefusesANewProgramThatCantBeCarriedThroughAndSaysWhen) {
-    uint64_t now = learn(50, 10);
+TEST_F(Ledger, RefusesANewProgramWithoutCapacityAndReturnsTheWait) {
+    uint64_t now = record_programs(50, 10);
     unsigned admitted = 0;
     program_admission_t last = {};
     for (uint64_t i = 1; i <= 100; i++) {
         last = call(i, now, false, {40, 0.1, 40});
         admitted += last.admitted;
     }
-    EXPECT_GE(admitted, 15u) << "0.1 calls a ms carry 20 programs that make one each 200 ms";
+    EXPECT_GE(admitted, 15u) << "0.1 calls per ms suffice for 20 programs with one call per 200 ms";
     EXPECT_LE(admitted, 30u);
     EXPECT_FALSE(last.admitted);
     EXPECT_GE(last.wait_ms, 100u);
     EXPECT_NEAR(last.expected, 10, 1);
     EXPECT_TRUE(call(1, now + 100, false, {0, 0.1, 40}).begun);
-    EXPECT_TRUE(call(1, now + 100, false, {0, 0.1, 40}).admitted) << "under way";
+    EXPECT_TRUE(call(1, now + 100, false, {0, 0.1, 40}).admitted) << "active";
 }
 
-TEST_F(Ledger, AProgramThatFallsSilentGivesItsPartBack) {
-    uint64_t now = learn(50, 10);
+TEST_F(Ledger, AnIdleProgramReleasesItsCapacity) {
+    uint64_t now = record_programs(50, 10);
     while (call(now, now, false, {40, 0.1, 40}).admitted)
         now++;
     EXPECT_GT(program_ledger_remaining_calls(ledger, now), 50);
@@ -141,16 +127,16 @@
     EXPECT_TRUE(call(1, now + 3000, false, {40, 0.1, 40}).admitted);
 }
 
-TEST_F(Ledger, AMemberWithoutMemoryBelievesThatAProgramHasBegun) {
-    uint64_t now = learn(50, 10);
+TEST_F(Ledger, AcceptsBegunProgramsAfterALossOfState) {
+    uint64_t now = record_programs(50, 10);
     while (call(now, now, false, {40, 0.1, 40}).admitted)
         now++;
     EXPECT_TRUE(call(5, now, true, {-40, 0.1, 40}).admitted);
-    EXPECT_TRUE(call(5, now + 200, false, {-40, 0.1, 40}).begun) << "and knows it from then on";
+    EXPECT_TRUE(call(5, now + 200, false, {-40, 0.1, 40}).begun) << "and is tracked from then on";
 }
 
-TEST_F(Ledger, ALoopWithoutEndIsAskedAgainAsIfItWereNew) {
-    uint64_t now = learn(50, 10);
+TEST_F(Ledger, AnEndlessProgramIsEvaluatedAsANewOne) {
+    uint64_t now = record_programs(50, 10);
     for (int i = 0; i < 60; i++, now += 200)
         EXPECT_TRUE(call(1, now, false, {-1, 0.1, 40}).admitted || i == 0);
     call(1, now, true, {-1, 0.1, 40});
@@ -158,29 +144,29 @@
     for (int i = 0; i < 40; i++, now += 200)
         refused = refused || !call(1, now, true, {-30, 0.1, 40}).admitted;
     EXPECT_TRUE(refused);
-    EXPECT_TRUE(call(1, now, true, {40, 0.1, 40}).admitted) << "it gets what others leave";
+    EXPECT_TRUE(call(1, now, true, {40, 0.1, 40}).admitted) << "it gets unused capacity";
 }
 
-TEST_F(Ledger, ARefusedProgramThatComesBackIsReadmitted) {
+TEST_F(Ledger, ARefusedProgramIsReadmittedLater) {
     EXPECT_FALSE(call(1, 10, false, {-5, 0.01, 40}).admitted);
-    EXPECT_FALSE(call(1, 20, false, {-5, 0.01, 40}).admitted) << "a refusal doesn't begin it";
+    EXPECT_FALSE(call(1, 20, false, {-5, 0.01, 40}).admitted) << "a refusal does not start it";
     program_admission_t later = call(1, 500, false, {5, 0.01, 40});
     EXPECT_TRUE(later.admitted);
     EXPECT_TRUE(later.readmitted);
 }
 
-TEST_F(Ledger, AProgramThatWasRefusedUntilItsTimeIsOverDoesntBegin) {
+TEST_F(Ledger, AProgramRefusedUntilItsDeadlineIsNotAdmitted) {
     EXPECT_FALSE(call(1, 10, false, {-5, 0.01, 40}).admitted);
     EXPECT_FALSE(call(2, 10, false, {-5, 0.01, 40}).admitted);
     EXPECT_TRUE(call(2, 500).admitted);
     late = true;
-    EXPECT_FALSE(call(1, 500).admitted) << "its caller gives it up before it ends";
-    EXPECT_TRUE(call(2, 600).admitted) << "under way";
-    EXPECT_TRUE(call(3, 600).admitted) << "what made it late is past";
-    EXPECT_TRUE(call(1, 600, true).admitted) << "its gateway knows better";
+    EXPECT_FALSE(call(1, 500).admitted) << "its caller would give up before it ends";
+    EXPECT_TRUE(call(2, 600).admitted) << "active";
+    EXPECT_TRUE(call(3, 600).admitted) << "a new program is not late";
+    EXPECT_TRUE(call(1, 600, true).admitted) << "its gateway reports that it has begun";
 }
 
-TEST_F(Ledger, RemembersSoManyProgramsAtMost) {
+TEST_F(Ledger, LimitsTheNumberOfTrackedPrograms) {
     for (uint64_t i = 1; i <= 20000; i++)
         EXPECT_TRUE(call(i, 10).admitted);
     EXPECT_EQ(program_ledger_size(ledger), 10000u);
@@ -189,8 +175,6 @@
     EXPECT_EQ(program_ledger_size(ledger), 0u);
 }
 
-// Homes.
-
 TEST(ProgramHome, MovesOnlyProgramsOfAMemberThatIsLost) {
     std::vector<quota_member_t> members(8);
     for (unsigned i = 0; i < 8; i++)
@@ -220,8 +204,6 @@
     EXPECT_EQ(program_home_count(&large, 8), 8u);
 }
 
-// A crowd.
-
 constexpr unsigned gateways = 6;
 constexpr uint64_t call_ms = 150;
 constexpr uint64_t pause_ms = 100;
@@ -233,7 +215,7 @@
     uint64_t wait_ms;
 };
 
-/** Members of the store group and what gateways know of them. */
+/** Members of the store group and the gateways' view of them. */
 class Fleet {
   public:
     Fleet(unsigned count, bool whole, unsigned seed) : whole_programs(whole), random(seed) {
@@ -328,18 +310,18 @@
 struct Tenant {
     std::string name;
     quota_limit_t limit;
-    double usual;       /**< Of its limit that it asks for, */
-    double crowd;       /**< and from 10 s to 17 s. */
-    bool loops = false; /**< A tenth of its programs goes on without end. */
+    double usual;       /**< Demand as a multiple of the limit. */
+    double crowd;       /**< The same from 10 s to 17 s. */
+    bool loops = false; /**< A tenth of its programs is endless. */
 };
 
 struct Outcome {
     int begun = 0;
     int in_aim = 0;
     int finished = 0;
-    int refused_first = 0; /**< Never let in. */
-    int cut = 0;           /**< Refused after an answer, for good. */
-    int wasted = 0;        /**< Calls that ran for programs that were cut. */
+    int refused_first = 0; /**< Never admitted. */
+    int cut = 0;           /**< Given up after some of their calls have run. */
+    int wasted = 0;        /**< Calls that ran for programs that were given up. */
     int calls = 0;
     std::vector<uint64_t> used;
     int in_span(uint64_t from, uint64_t until) const {
@@ -360,7 +342,7 @@
     }
 };
 
-/** Plays programs of about 4 and 9 turns, each turn with up to two tool calls behind it. */
+/** Simulates programs of about 4 and 9 turns, each turn followed by up to two tool calls. */
 class Crowd {
   public:
     Crowd(Fleet &fleet, std::vector<Tenant> tenants, unsigned seed)
@@ -380,7 +362,7 @@
             what();
         }
     }
-    /** Programs that are under way fall silent. */
+    /** A random part of the active programs stops. */
     void kill_part(unsigned one_in) {
         for (auto &program : live)
             if (auto alive = program.lock(); alive && random() % one_in == 0)
@@ -448,7 +430,7 @@
         outcome.finished++;
         outcome.in_aim += now - program->begun_at <= idle * 3 / 2 + 250;
     }
-    /** Each call is tried three times. */
+    /** Each call has three attempts. */
     void refused(const std::shared_ptr<Program> &program, uint64_t wait_ms) {
         Outcome &outcome = outcomes[program->tenant];
         if (++program->tries < 3) {
@@ -497,11 +479,11 @@
 
 const Tenant hot = {"hot", {1, 400, 400}, 0.6, 6};
 
-/** Plays the same by call and whole, over three seeds. */
+/** Sums over three seeds, with admission per call and per program. */
 struct Pair {
     Outcome by_call;
     Outcome whole;
-    double used = 0; /**< Share of the limit from 11 s to 17 s, whole, at its least. */
+    double used = 0; /**< Minimum share of the limit used from 11 s to 17 s, per program. */
     double used_by_call = 0;
 };
 
@@ -536,11 +518,11 @@
     return pairs;
 }
 
-/** What callers of a tenant far over its limit get: whole programs, and no fewer than before. */
+/** Expects that admitted programs complete, and no fewer than with admission per call. */
 void expect_whole(const Pair &pair, double more) {
     EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim * more);
-    EXPECT_LE(pair.whole.cut, pair.whole.begun / 100) << "hardly a program ends in the middle";
-    EXPECT_GT(pair.by_call.cut, pair.by_call.begun / 5) << "the load is one that cuts programs";
+    EXPECT_LE(pair.whole.cut, pair.whole.begun / 100) << "admitted programs must complete";
+    EXPECT_GT(pair.by_call.cut, pair.by_call.begun / 5) << "the load must interrupt programs";
     EXPECT_LE(pair.whole.wasted, pair.whole.calls / 50);
 }
 
@@ -564,7 +546,7 @@
     EXPECT_LE(pair.whole.cut, pair.by_call.cut / 10);
 }
 
-TEST(Crowd, WithinItsLimitNobodyIsRefused) {
+TEST(Crowd, NoCallIsRefusedWithinTheLimit) {
     for (uint32_t rate : {3u, 8u, 30u, 100u, 400u}) {
         Pair pair = play_both("0.6 x", 8, {{"calm", {1, rate, rate}, 0.6, 0.6}})[0];
         EXPECT_EQ(pair.whole.refused_first, 0) << rate;
@@ -592,7 +574,7 @@
     EXPECT_LE(pair.whole.cut, pair.by_call.cut / 4);
 }
 
-TEST(Crowd, AGatewayIsKilledAndItsProgramsGiveTheirPartBack) {
+TEST(Crowd, ProgramsOfAKilledGatewayReleaseTheirCapacity) {
     Pair pair = play_both("gateway killed", 8, {hot}, [](Crowd &crowd, Fleet &fleet) {
         (void)fleet;
         crowd.at(13000, [&crowd] { crowd.kill_part(3); });
@@ -611,7 +593,7 @@
     EXPECT_GE(both[0].whole.in_aim, alone.whole.in_aim * 0.95);
 }
 
-TEST(Crowd, LoopsWithoutEndGetWhatOthersLeave) {
+TEST(Crowd, EndlessProgramsGetUnusedCapacity) {
     Tenant looping = {"hot", {1, 400, 400}, 0.6, 6, true};
     Pair pair = play_both("loops", 8, {looping})[0];
     EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim);
--- a/tests/unit/quota_test.cc
+++ b/tests/unit/quota_test.cc
@@ -1,4 +1,4 @@
-// Tenants' limits: how they are split, a member's buckets, and whom a gateway asks.
+// Tenants' limits: split among members, token buckets, and the member that a gateway asks.
 #include <glib.h>
 
 extern "C" {
@@ -47,7 +47,7 @@
             }
 }
 
-TEST(QuotaSplit, AGrantEndsSoon) {
+TEST(QuotaSplit, GrantsExpireSoon) {
     EXPECT_GT(quota_split_grant_ms(&bounds), 50u);
     EXPECT_LE(quota_split_grant_ms(&bounds), 500u);
 }
@@ -74,14 +74,14 @@
 
 TEST_F(QuotaTable, BeginsNearlyEmptyAndFillsAtTheRate) {
     quota_limit_t limit = {1, 100, 100};
-    EXPECT_LT(take_all(0, limit), 10) << "what it granted before it was restarted is not known";
+    EXPECT_LT(take_all(0, limit), 10) << "grants before a restart are unknown";
     int later = take_all(500, limit);
     EXPECT_GE(later, 49);
     EXPECT_LE(later, 60);
     EXPECT_GE(take_all(100000, limit), 100) << "full again";
 }
 
-TEST_F(QuotaTable, TellsWhenThereIsATokenAgain) {
+TEST_F(QuotaTable, ReturnsTheTimeUntilTheNextToken) {
     quota_limit_t limit = {1, 10, 10};
     take_all(0, limit);
     quota_answer_t answer = quota_table_take(&table, "t", &limit, 1, 0, 0);
@@ -91,7 +91,7 @@
     EXPECT_TRUE(take(answer.wait_ms, limit));
 }
 
-TEST_F(QuotaTable, APatientCallGetsATokenThatIsToComeAndThoseAfterItLater) {
+TEST_F(QuotaTable, GrantsFutureTokensInOrderWithinTheTimeout) {
     quota_limit_t limit = {1, 10, 10};
     take_all(0, limit);
     quota_answer_t first = quota_table_take(&table, "t", &limit, 1, 200, 0);
@@ -101,11 +101,11 @@
     EXPECT_TRUE(second.granted);
     EXPECT_LT(first.wait_ms, second.wait_ms);
     EXPECT_LE(second.wait_ms, 200u);
-    EXPECT_FALSE(third.granted) << "it would have to wait longer";
-    EXPECT_FALSE(take(first.wait_ms, limit)) << "that token is another call's";
+    EXPECT_FALSE(third.granted) << "the wait would exceed its timeout";
+    EXPECT_FALSE(take(first.wait_ms, limit)) << "that token is already granted";
 }
 
-TEST_F(QuotaTable, PromisesNoMoreThanTheNextFewTokensHoweverPatientACallIs) {
+TEST_F(QuotaTable, LimitsAdvanceGrantsWhateverTheTimeout) {
     quota_limit_t limit = {1, 100, 100};
     take_all(0, limit);
     int granted = 0;
@@ -118,7 +118,7 @@
     EXPECT_LE(quota_table_take(&table, "rare", &rare, 1, 60000, 0).wait_ms, 1000u);
 }
 
-TEST_F(QuotaTable, ShowsWhatItHolds) {
+TEST_F(QuotaTable, ViewReturnsTheTokens) {
     quota_limit_t limit = {1, 100, 100};
     quota_view_t view;
     ASSERT_TRUE(quota_table_view(&table, "t", &limit, 1, 100000, &view));
@@ -129,13 +129,13 @@
     EXPECT_EQ(view.limit.rate, 100u);
 }
 
-TEST_F(QuotaTable, TheLatestVersionOfALimitHolds) {
+TEST_F(QuotaTable, AppliesTheLatestVersionOfALimit) {
     quota_limit_t old_limit = {1, 100, 100};
     quota_limit_t new_limit = {2, 10, 10};
     take(0, old_limit);
     int granted = take_all(100000, new_limit);
-    EXPECT_LT(granted, 60) << "a gateway that knows the later version was here";
-    EXPECT_EQ(take_all(100000, old_limit), 0) << "one that does not changes nothing";
+    EXPECT_LT(granted, 60) << "the later version of the limit applies";
+    EXPECT_EQ(take_all(100000, old_limit), 0) << "an older version is ignored";
     EXPECT_LE(take_all(100500, old_limit), 10);
 }
 
@@ -152,14 +152,14 @@
     EXPECT_EQ(table.charged, 1005u);
 }
 
-TEST_F(QuotaTable, BeginsNearlyEmptyOnceMoreAfterItsPlaceWasAnothers) {
+TEST_F(QuotaTable, RestartLeavesBucketsNearlyEmpty) {
     quota_limit_t limit = {1, 100, 100};
     take(0, limit);
     quota_table_restart(&table);
     EXPECT_LT(take_all(100000, limit), 10);
 }
 
-TEST_F(QuotaTable, ForgetsTenantsThatAreSilent) {
+TEST_F(QuotaTable, RemovesInactiveTenants) {
     quota_limit_t limit = {1, 10, 10};
     take(0, limit, "a");
     take(500, limit, "b");
@@ -167,9 +167,8 @@
     EXPECT_EQ(g_hash_table_size(table.buckets), 1u);
 }
 
-// Members that restart at any moment, with a memory that is gone: no window holds more than
-// allowed.
-TEST(QuotaTables, NoWindowExceedsWhatIsAllowedWhoeverRestarts) {
+// Members restart at random times and lose their state; no window may exceed the bounds.
+TEST(QuotaTables, NoWindowExceedsTheBoundsAfterRestarts) {
     for (unsigned seed = 1; seed <= 60; seed++) {
         std::mt19937 random(seed);
         const unsigned members = 1 + random() % 7;
@@ -207,14 +206,14 @@
         {true, false, 30, 0}, {true, false, 10, 0}, {true, false, 20, 0}};
 };
 
-TEST_F(QuotaChoice, AsksOnlyMembersWithAShareEachInTurn) {
+TEST_F(QuotaChoice, AsksOnlyMembersWithAShareEvenly) {
     std::vector<int> asked(3);
     for (uint32_t random = 0; random < 60; random++)
         asked[choose(2, 100, random).member]++;
     EXPECT_EQ(asked, (std::vector<int>{0, 30, 30}));
 }
 
-TEST_F(QuotaChoice, AnotherTakesThePlaceOfOneThatCantBeReached) {
+TEST_F(QuotaChoice, ReplacesUnreachableMembers) {
     members[1].reachable = false;
     EXPECT_EQ(choose(1).member, 2u);
     for (quota_member_t &member : members)
@@ -223,7 +222,7 @@
     EXPECT_EQ(quota_choose(nullptr, 0, 1, 0, 0).step, QUOTA_UNREACHABLE);
 }
 
-TEST_F(QuotaChoice, RefusesOnceAllAreOutOfTokensAndSaysWhenOneHasAny) {
+TEST_F(QuotaChoice, RefusesOnceAllAreOutOfTokensAndReturnsTheWait) {
     members[0].empty_until = 180;
     members[1].empty_until = 140;
     EXPECT_EQ(choose(3).member, 2u);
@@ -235,7 +234,7 @@
     EXPECT_EQ(choose(3, 140).step, QUOTA_ASK);
 }
 
-TEST_F(QuotaChoice, MembersThatDoNotAnswerAreNoRefusal) {
+TEST_F(QuotaChoice, MembersWithoutResponseAreUnreachable) {
     for (quota_member_t &member : members)
         member.asked = true;
     EXPECT_EQ(choose(3).step, QUOTA_UNREACHABLE);
--- a/tests/unit/resend_test.cc
+++ b/tests/unit/resend_test.cc
@@ -1,4 +1,4 @@
-/** Where calls go after a send that brought no answer: core/retry/resend.h and silence.h. */
+/** Where a call is sent after an attempt without response: resend.h, silence.h, answer_time.h. */
 #include <gtest/gtest.h>
 
 extern "C" {
@@ -18,14 +18,14 @@
     return state;
 }
 
-TEST(Resend, ARouteThatAllowsMoreBackEndsGoesElsewhere) {
+TEST(Resend, UsesAnotherBackEndIfTheRouteAllowsMore) {
     resend_state_t state = after_first_send();
     state.attempts = 2;
     EXPECT_EQ(resend_unknown(&state), RESEND_ELSEWHERE);
     EXPECT_EQ(resend_not_run(&state), RESEND_ELSEWHERE);
 }
 
-TEST(Resend, TheLastBackEndThatIsAllowedIsTriedAgainAFewTimes) {
+TEST(Resend, RetriesTheLastAllowedBackEndALimitedNumberOfTimes) {
     resend_state_t state = after_first_send();
     unsigned times = 0;
     for (; resend_unknown(&state) == RESEND_SAME; times++)
@@ -34,20 +34,20 @@
     EXPECT_EQ(resend_unknown(&state), RESEND_NO);
 }
 
-TEST(Resend, ABackEndThatRefusedIsNotTriedAgain) {
+TEST(Resend, DoesNotRetryABackEndThatRefused) {
     resend_state_t state = after_first_send();
     EXPECT_EQ(resend_not_run(&state), RESEND_NO);
 }
 
-TEST(Resend, ABackEndThatEndedDoesNotCount) {
+TEST(Resend, EndedBackEndsDoNotCount) {
     resend_state_t state = after_first_send();
     state.ended = 1;
     EXPECT_EQ(resend_unknown(&state), RESEND_ELSEWHERE);
     state.backends = 2;
-    EXPECT_NE(resend_unknown(&state), RESEND_ELSEWHERE) << "only one of two has ended";
+    EXPECT_NE(resend_unknown(&state), RESEND_ELSEWHERE) << "only one of two back ends has ended";
 }
 
-TEST(Resend, NothingIsSentWithoutTime) {
+TEST(Resend, DoesNotResendAfterTheDeadline) {
     resend_state_t state = after_first_send();
     state.attempts = 3;
     state.time_left = false;
@@ -55,7 +55,7 @@
     EXPECT_EQ(resend_not_run(&state), RESEND_NO);
 }
 
-TEST(Resend, ABackEndThatLeavesIsNotTriedAgain) {
+TEST(Resend, DoesNotRetryAnUnusableBackEnd) {
     resend_state_t state = after_first_send();
     state.same_usable = false;
     EXPECT_EQ(resend_unknown(&state), RESEND_NO);
@@ -63,31 +63,31 @@
 
 constexpr uint64_t SENT = 10000;
 
-silence_t judge(bool answered, uint64_t call_heard, backend_signs_t backend, uint64_t now) {
-    call_signs_t call = {SENT, call_heard, answered};
+silence_t judge(bool answered, uint64_t call_last_at, backend_signs_t backend, uint64_t now) {
+    call_signs_t call = {SENT, call_last_at, answered};
     return silence_judge(&call, &backend, now);
 }
 
-TEST(Silence, AShortPauseIsUsual) {
+TEST(Stall, AShortPauseIsNoStall) {
     EXPECT_EQ(judge(false, SENT, {0, 0, 50}, SENT + 250), SILENCE_USUAL);
     EXPECT_EQ(judge(true, SENT + 100, {SENT + 100, SENT, 50}, SENT + 350), SILENCE_USUAL);
 }
 
-TEST(Silence, NothingFromABackEndIsSuspect) {
+TEST(Stall, AnInactiveBackEndIsSuspected) {
     EXPECT_EQ(judge(false, SENT, {SENT, SENT, 50}, SENT + 400), SILENCE_SUSPECT);
     EXPECT_EQ(judge(true, SENT + 100, {SENT + 100, SENT, 50}, SENT + 500), SILENCE_SUSPECT);
 }
 
-TEST(Silence, ASlowBackEndGetsMoreTime) {
+TEST(Stall, ASlowBackEndHasALongerTimeout) {
     EXPECT_EQ(judge(false, SENT, {SENT, SENT, 500}, SENT + 1400), SILENCE_USUAL);
     EXPECT_EQ(judge(false, SENT, {SENT, SENT, 500}, SENT + 1500), SILENCE_SUSPECT);
 }
 
-TEST(Silence, ABackEndThatAnswersOthersIsNotSuspect) {
+TEST(Stall, ABackEndThatServesOthersIsNotSuspected) {
     EXPECT_EQ(judge(false, SENT, {SENT + 690, SENT - 100, 50}, SENT + 700), SILENCE_USUAL);
 }
 
-TEST(Silence, ACallThatLaterOnesHaveOvertakenIsLost) {
+TEST(Stall, ACallOvertakenByLaterOnesIsLost) {
     EXPECT_EQ(judge(false, SENT, {SENT + 990, SENT + 500, 50}, SENT + 1000), SILENCE_LOST);
     EXPECT_EQ(judge(false, SENT, {SENT + 990, SENT + 300, 50}, SENT + 1000), SILENCE_USUAL)
         << "sent at nearly the same time";
@@ -95,22 +95,22 @@
         << "the back end is slow";
 }
 
-TEST(Silence, AStreamThatStandsStillWhileOthersGoOnIsLost) {
+TEST(Stall, AStalledStreamIsLostWhileOthersProgress) {
     EXPECT_EQ(judge(true, SENT + 100, {SENT + 1390, SENT, 50}, SENT + 1400), SILENCE_LOST);
     EXPECT_EQ(judge(true, SENT + 100, {SENT + 900, SENT, 50}, SENT + 1400), SILENCE_SUSPECT)
-        << "all stand still";
+        << "all streams are stalled";
 }
 
-TEST(AnswerTime, AnAnswerIsLateOnceNoUsualOneTakesThatLong) {
+TEST(AnswerTime, ThresholdFollowsTheTypicalResponseTime) {
     answer_time_t time = {};
     answer_time_note(&time, 30);
-    EXPECT_EQ(answer_time_late_ms(&time), UINT32_MAX) << "one answer says little";
+    EXPECT_EQ(answer_time_late_ms(&time), UINT32_MAX) << "too few samples";
     for (uint32_t i = 0; i < 200; i++)
         answer_time_note(&time, 10 + 10 * (i % 6));
     EXPECT_EQ(answer_time_late_ms(&time), 250u);
     for (uint32_t i = 0; i < 200; i++)
         answer_time_note(&time, 50 + 150 * (i % 6));
-    EXPECT_GT(answer_time_late_ms(&time), 1000u) << "where answers take long, late is later";
+    EXPECT_GT(answer_time_late_ms(&time), 1000u) << "the threshold follows slower responses";
 }
 
 } // namespace
--- a/tests/unit/zone_silence_test.cc
+++ b/tests/unit/zone_silence_test.cc
@@ -1,7 +1,5 @@
-// Load: seven storage nodes in two groups (two in the gateways' zone, five in others; a write needs
-// four), gateways that look every 50 ms. What callers get: while their zone is cut off, a refusal
-// that is known 378 to 499 ms after a gateway's first operation began to wait, in each of 200 drawn
-// cases, and is not taken back for the 6 s that the cut lasts.
+// Zone isolation with seven storage nodes: two in the local zone, five in others, write quorum
+// four. Guards against late detection, false detection and an isolation that ends too early.
 #include <algorithm>
 #include <cstdint>
 #include <random>
@@ -18,30 +16,30 @@
 constexpr unsigned quorum = 4;
 constexpr uint64_t answer_ms = 4;
 
-// One gateway and its ways to the storage nodes, millisecond by millisecond.
+// One gateway and its connections to the storage nodes, simulated in steps of 1 ms.
 class Gateway {
   public:
     std::vector<zone_member_t> members;
-    std::vector<bool> reached; // A question is answered.
+    std::vector<bool> reached; // Probes are answered.
     zone_silence_t silence = {};
     uint64_t now = 10000;
-    uint64_t waits_since = 0; // An operation waits; 0: none does.
-    unsigned asked = 0;
+    uint64_t waits_since = 0; // An operation has been waiting since then; 0: none.
+    unsigned probes = 0;
     unsigned reconnects = 0;
-    unsigned cuts = 0;
+    unsigned isolations = 0;
     unsigned ends = 0;
-    bool neighbour_reaches = false; // A new connection goes through it.
+    bool neighbour_reaches = false; // A reopened connection through a neighbour works.
 
-    explicit Gateway(unsigned near = 2, unsigned far = 5) {
-        for (unsigned i = 0; i < near + far; i++) {
+    explicit Gateway(unsigned near = 2, unsigned remote = 5) {
+        for (unsigned i = 0; i < near + remote; i++) {
             members.push_back({i < near, now, 0});
             reached.push_back(true);
         }
     }
-    void cut_far(bool cut) {
+    void isolate(bool on) {
         for (size_t i = 0; i < members.size(); i++)
             if (!members[i].near)
-                reached[i] = !cut;
+                reached[i] = !on;
     }
     void set_all(bool answers) {
         std::fill(reached.begin(), reached.end(), answers);
@@ -49,11 +47,11 @@
     bool waiting() const {
         return waits_since > 0 && now >= waits_since + ZONE_WAIT_MS;
     }
-    void look() {
+    void check() {
         bool before = silence.cut;
         zone_silence_step_t step =
             zone_silence_look(&silence, members.data(), members.size(), quorum, waiting(), now);
-        cuts += !before && silence.cut;
+        isolations += !before && silence.cut;
         ends += before && !silence.cut;
         if (step == ZONE_SILENCE_RECONNECT) {
             reconnects++;
@@ -62,17 +60,17 @@
         }
         if (step == ZONE_SILENCE_NOTHING)
             return;
-        asked++;
+        probes++;
         for (auto &member : members)
             member.asked_at = member.asked_at == 0 ? now : member.asked_at;
         answer_at = now + answer_ms;
     }
-    void run(uint64_t ms, uint64_t first_look = 0) {
+    void run(uint64_t ms, uint64_t first_check = 0) {
         for (uint64_t i = 0; i < ms; i++, now++) {
             if (now == answer_at)
                 answer();
-            if (i >= first_look && (i - first_look) % ZONE_LOOK_MS == 0)
-                look();
+            if (i >= first_check && (i - first_check) % ZONE_LOOK_MS == 0)
+                check();
         }
     }
 
@@ -89,14 +87,14 @@
     }
 };
 
-TEST(ZoneSilence, AllGatewaysOfACutZoneKnowItWithinHalfASecondAndStayByIt) {
+TEST(ZoneIsolation, AllGatewaysDetectItWithin550MsAndDoNotRevertIt) {
     std::mt19937 random(1);
     uint64_t first = UINT64_MAX;
     uint64_t last = 0;
     for (unsigned gateway = 0; gateway < 200; gateway++) {
         Gateway here;
         here.run(random() % 500);
-        here.cut_far(true);
+        here.isolate(true);
         uint64_t began = here.now;
         here.waits_since = began;
         while (!here.silence.cut && here.now < began + 2000)
@@ -106,133 +104,135 @@
         first = std::min(first, taken);
         last = std::max(last, taken);
         here.run(6000);
-        EXPECT_EQ(here.cuts, 1U);
+        EXPECT_EQ(here.isolations, 1U);
         EXPECT_EQ(here.ends, 0U);
     }
     EXPECT_GE(first, uint64_t{ZONE_WAIT_MS + ZONE_ISOLATED_AFTER_MS});
     EXPECT_LE(last, 550U);
 }
 
-TEST(ZoneSilence, ACalmGatewayAsksNobody) {
+TEST(ZoneIsolation, MembersAreProbedOnlyWhileAnOperationWaits) {
     Gateway here;
     here.run(60000);
-    EXPECT_EQ(here.asked, 0U);
-    here.waits_since = here.now; // An operation waits for a slow disk, though all are heard.
+    EXPECT_EQ(here.probes, 0U);
+    here.waits_since = here.now; // An operation waits for a slow disk while all members respond.
     here.run(1000);
-    EXPECT_LE(here.asked, 1000 / ZONE_PROBE_INTERVAL_MS + 1U);
-    EXPECT_EQ(here.cuts, 0U);
+    EXPECT_LE(here.probes, 1000 / ZONE_PROBE_INTERVAL_MS + 1U);
+    EXPECT_EQ(here.isolations, 0U);
 }
 
-TEST(ZoneSilence, AGatewayWithoutOperationsFindsOutAtANeighboursWord) {
+TEST(ZoneIsolation, ANeighboursReportStartsDetectionWithoutOperations) {
     Gateway here;
-    here.cut_far(true);
+    here.isolate(true);
     here.run(2000);
-    EXPECT_FALSE(here.silence.cut) << "nobody has anything to ask";
-    here.waits_since = here.now - ZONE_WAIT_MS; // The neighbour's word counts as one that waits.
+    EXPECT_FALSE(here.silence.cut) << "no operation is waiting";
+    here.waits_since =
+        here.now - ZONE_WAIT_MS; // A neighbour's report counts as a waiting operation.
     here.run(ZONE_SUSPECT_MAX_MS);
     EXPECT_TRUE(here.silence.cut);
 }
 
-TEST(ZoneSilence, OneMemberOrOneZoneLostIsNoCut) {
+TEST(ZoneIsolation, LossOfOneMemberOrOneOtherZoneIsNoIsolation) {
     for (size_t lost : {0U, 2U, 6U}) {
         Gateway here;
         here.reached[lost] = false;
         here.waits_since = here.now;
         here.run(5000);
-        EXPECT_EQ(here.cuts, 0U) << lost;
+        EXPECT_EQ(here.isolations, 0U) << lost;
     }
-    Gateway here; // Another zone is cut off or lost: three of its members.
+    Gateway here; // Another zone with three members is lost.
     for (size_t i = 4; i < 7; i++)
         here.reached[i] = false;
     here.waits_since = here.now;
     here.run(5000);
-    EXPECT_EQ(here.cuts, 0U);
+    EXPECT_EQ(here.isolations, 0U);
 }
 
-TEST(ZoneSilence, AllStorageNodesLostIsNoCutZone) {
+TEST(ZoneIsolation, LossOfAllStorageNodesIsNoIsolation) {
     Gateway here;
     here.set_all(false);
     here.waits_since = here.now;
     here.run(5000);
-    EXPECT_EQ(here.cuts, 0U) << "other gateways are no better";
-    EXPECT_FALSE(zone_silence_in_doubt(&here.silence, here.now)) << "callers do not wait for it";
+    EXPECT_EQ(here.isolations, 0U) << "other gateways are no better off";
+    EXPECT_FALSE(zone_silence_in_doubt(&here.silence, here.now))
+        << "callers must not wait for the decision";
 }
 
-// Frames still come from the others, but no question reaches them.
-TEST(ZoneSilence, ACutOfOneDirectionIsFoundAsWell) {
+// Members of other zones still send frames, but probes do not reach them.
+TEST(ZoneIsolation, OneWayIsolationIsDetected) {
     Gateway here;
-    here.cut_far(true);
+    here.isolate(true);
     here.waits_since = here.now;
     here.run(600);
-    EXPECT_TRUE(here.silence.cut) << "what comes unasked sets neither heard_at nor asked_at";
+    EXPECT_TRUE(here.silence.cut) << "unsolicited frames do not count as responses";
 }
 
-TEST(ZoneSilence, ASingleGatewayThatIsCutOffGoesOnThroughANeighbour) {
+TEST(ZoneIsolation, ASingleDisconnectedGatewayContinuesThroughANeighbour) {
     Gateway here;
-    here.cut_far(true);
+    here.isolate(true);
     here.neighbour_reaches = true;
     here.waits_since = here.now;
     here.run(3000);
     EXPECT_EQ(here.reconnects, 1U);
-    EXPECT_EQ(here.cuts, 0U);
+    EXPECT_EQ(here.isolations, 0U);
 }
 
-TEST(ZoneSilence, ANeighbourBehindTheSameCutChangesNothing) {
+TEST(ZoneIsolation, AnIsolatedNeighbourDoesNotEndIt) {
     Gateway here;
-    here.cut_far(true);
+    here.isolate(true);
     here.waits_since = here.now;
     here.run(600);
     ASSERT_TRUE(here.silence.cut);
-    // Connections through neighbours open again and again, and nothing is heard on them.
+    // Connections through neighbours are reopened repeatedly without any response.
     here.run(6000);
     EXPECT_EQ(here.ends, 0U);
-    // One member of another zone is heard: three of seven, no quorum.
+    // One member of another zone responds: three of seven, no quorum.
     here.reached[2] = true;
     here.run(1000);
     EXPECT_EQ(here.ends, 0U);
 }
 
-TEST(ZoneSilence, AFlappingCutEndsOnlyOnceAQuorumIsHeardForAWhile) {
+TEST(ZoneIsolation, FlappingConnectivityDoesNotEndItEarly) {
     Gateway here;
     here.waits_since = here.now;
-    here.cut_far(true);
+    here.isolate(true);
     here.run(600);
     ASSERT_TRUE(here.silence.cut);
     for (unsigned i = 0; i < 20; i++) {
-        here.cut_far(false);
+        here.isolate(false);
         here.run(150);
-        here.cut_far(true);
+        here.isolate(true);
         here.run(350);
     }
     EXPECT_EQ(here.ends, 0U);
-    here.cut_far(false);
-    uint64_t healed = here.now;
-    while (here.silence.cut && here.now < healed + 5000)
+    here.isolate(false);
+    uint64_t restored = here.now;
+    while (here.silence.cut && here.now < restored + 5000)
         here.run(ZONE_LOOK_MS);
     EXPECT_FALSE(here.silence.cut);
-    EXPECT_GE(here.now - healed, uint64_t{ZONE_RECOVERY_MS});
-    EXPECT_LE(here.now - healed, uint64_t{ZONE_RECOVERY_MS + 4 * ZONE_PROBE_INTERVAL_MS});
-    EXPECT_EQ(here.cuts, 1U);
+    EXPECT_GE(here.now - restored, uint64_t{ZONE_RECOVERY_MS});
+    EXPECT_LE(here.now - restored, uint64_t{ZONE_RECOVERY_MS + 4 * ZONE_PROBE_INTERVAL_MS});
+    EXPECT_EQ(here.isolations, 1U);
 }
 
-TEST(ZoneSilence, AProcessThatStoodStillHearsLateItself) {
+TEST(ZoneIsolation, APausedProcessRestartsDetection) {
     Gateway here;
     here.waits_since = here.now;
-    here.look();
-    here.now += 3000; // Answers wait in its sockets.
-    here.look();
-    EXPECT_EQ(here.cuts, 0U);
+    here.check();
+    here.now += 3000; // Responses are waiting in its sockets.
+    here.check();
+    EXPECT_EQ(here.isolations, 0U);
     here.run(1000);
-    EXPECT_EQ(here.cuts, 0U);
+    EXPECT_EQ(here.isolations, 0U);
     EXPECT_EQ(here.reconnects, 0U);
 }
 
-TEST(ZoneSilence, WithoutStorageNodesInOtherZonesThereIsNoCut) {
+TEST(ZoneIsolation, RequiresStorageNodesInOtherZones) {
     Gateway here(7, 0);
     here.waits_since = here.now;
     here.set_all(false);
     here.run(3000);
-    EXPECT_EQ(here.cuts, 0U);
+    EXPECT_EQ(here.isolations, 0U);
 }
 
 } // namespace
