--- a/src/core/admission/program_ledger.c
+++ b/src/core/admission/program_ledger.c
@@ -23,8 +23,7 @@
     IDLE_MAX_MS = 5000,
     GAP_INITIAL_MS = 500, /**< Initial estimate of the time between calls of a program. */
     SOON_MS = 100,        /**< A token available within this time counts as available. */
-    FEW_PROGRAMS =
-        4, /**< Below this capacity in programs, the demand of the new program is ignored. */
+    FEW_PROGRAMS = 4,     /**< Below this capacity, the demand of a new program is ignored. */
     WAIT_MIN_MS = 100,
     WAIT_MAX_MS = 2000, /**< Callers wait a few seconds; capacity may become available earlier. */
 };
@@ -69,7 +68,7 @@
     call_counts_t all;
     GQueue active;
     GQueue inactive; /**< Ended and refused programs. */
-    GArray *late;    /**< Of pending_count_t, by due time. */
+    GArray *pending; /**< Of pending_count_t, by due time. */
     double gap_ms;
     double gap_deviation_ms;
     demand_t demand;
@@ -81,7 +80,7 @@
     program_ledger_t *ledger = g_new0(program_ledger_t, 1);
     ledger->programs = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, g_free);
     ledger->kinds = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-    ledger->late = g_array_new(FALSE, FALSE, sizeof(pending_count_t));
+    ledger->pending = g_array_new(FALSE, FALSE, sizeof(pending_count_t));
     ledger->gap_ms = GAP_INITIAL_MS;
     ledger->gap_deviation_ms = GAP_INITIAL_MS;
     return ledger;
@@ -90,7 +89,7 @@
 void program_ledger_free(program_ledger_t *ledger) {
     g_hash_table_destroy(ledger->programs);
     g_hash_table_destroy(ledger->kinds);
-    g_array_free(ledger->late, TRUE);
+    g_array_free(ledger->pending, TRUE);
     g_free(ledger);
 }
 
@@ -115,32 +114,32 @@
 }
 
 static uint64_t idle_timeout_ms(const program_ledger_t *ledger) {
-    double silent = ledger->gap_ms + GAP_DEVIATIONS * ledger->gap_deviation_ms;
-    return (uint64_t)CLAMP(silent, (double)IDLE_MIN_MS, (double)IDLE_MAX_MS);
+    double idle_ms = ledger->gap_ms + GAP_DEVIATIONS * ledger->gap_deviation_ms;
+    return (uint64_t)CLAMP(idle_ms, (double)IDLE_MIN_MS, (double)IDLE_MAX_MS);
 }
 
 /** Only programs tracked since their first call are counted. */
 static void schedule_count(program_ledger_t *ledger, const entry_t *entry, uint64_t now) {
-    if (!entry->complete || ledger->late->len >= PENDING_MAX)
+    if (!entry->complete || ledger->pending->len >= PENDING_MAX)
         return;
-    uint64_t silent = idle_timeout_ms(ledger);
-    uint64_t gap = MIN((uint64_t)ledger->gap_ms, silent);
-    pending_count_t late = {entry->counts, entry->calls, now + silent - gap};
-    g_array_append_val(ledger->late, late);
+    uint64_t idle_ms = idle_timeout_ms(ledger);
+    uint64_t gap = MIN((uint64_t)ledger->gap_ms, idle_ms);
+    pending_count_t pending = {entry->counts, entry->calls, now + idle_ms - gap};
+    g_array_append_val(ledger->pending, pending);
 }
 
 static void apply_due_counts(program_ledger_t *ledger, uint64_t now) {
     guint done = 0;
-    for (; done < ledger->late->len; done++) {
-        const pending_count_t *late = &g_array_index(ledger->late, pending_count_t, done);
-        if (late->due_at > now)
+    for (; done < ledger->pending->len; done++) {
+        const pending_count_t *pending = &g_array_index(ledger->pending, pending_count_t, done);
+        if (pending->due_at > now)
             break;
-        call_counts_record_call(late->counts, late->calls);
-        if (late->counts != &ledger->all)
-            call_counts_record_call(&ledger->all, late->calls);
+        call_counts_record_call(pending->counts, pending->calls);
+        if (pending->counts != &ledger->all)
+            call_counts_record_call(&ledger->all, pending->calls);
     }
     if (done > 0)
-        g_array_remove_range(ledger->late, 0, done);
+        g_array_remove_range(ledger->pending, 0, done);
 }
 
 static void record_end(program_ledger_t *ledger, const entry_t *entry, bool ended) {
@@ -162,10 +161,10 @@
 }
 
 static void expire(program_ledger_t *ledger, uint64_t now) {
-    uint64_t silent = idle_timeout_ms(ledger);
+    uint64_t idle_ms = idle_timeout_ms(ledger);
     apply_due_counts(ledger, now);
     for (entry_t *entry = g_queue_peek_head(&ledger->active);
-         entry != NULL && entry->last_call_at + silent < now;
+         entry != NULL && entry->last_call_at + idle_ms < now;
          entry = g_queue_peek_head(&ledger->active)) {
         record_end(ledger, entry, true);
         set_state(ledger, entry, PROGRAM_ENDED);
@@ -236,9 +235,9 @@
         return;
     call_forecast_t ahead =
         call_counts_forecast(forecast_counts(ledger, entry->counts), entry->calls);
-    double silent = exp(-(double)(now - entry->last_call_at) / gap_ms(ledger));
-    double alive = ahead.continue_probability * silent /
-                   (ahead.continue_probability * silent + 1 - ahead.continue_probability);
+    double idle = exp(-(double)(now - entry->last_call_at) / gap_ms(ledger));
+    double alive = ahead.continue_probability * idle /
+                   (ahead.continue_probability * idle + 1 - ahead.continue_probability);
     double mean = alive * ahead.mean;
     demand->owed += mean;
     demand->variance += fmax(alive * ahead.mean_square - mean * mean, 0);
--- a/src/core/budget/budget_decision.h
+++ b/src/core/budget/budget_decision.h
@@ -7,7 +7,7 @@
  * Each replica records the reserve first and responds with a summary of its charges.
  *
  * 1. If a quorum of replicas responds with the same summary, that sum is used. Any two such
- * quorums share a replica, so the later of two calls counts the earlier one.
+ * quorums share a replica, so of two calls the one that arrives there later counts the other.
  * 2. Otherwise the charges themselves are read from a quorum of the replicas that recorded the
  * reserve, and merged; a settled charge replaces its reserve. As they are read after the reserve
  * was recorded, they include every call recorded earlier at any of these replicas.
--- a/src/core/isolation/zone_silence.h
+++ b/src/core/isolation/zone_silence.h
@@ -9,10 +9,10 @@
  * for ZONE_RECOVERY_MS, so that a connection through a neighbour that is isolated as well does not
  * end it.
  *
- * Members are probed only while an operation waits for a quorum. Connections are reopened once
- * before the zone is declared isolated, so that a single gateway without connectivity can continue
- * through a neighbour. After the process itself was paused, the observation starts again, because
- * responses may be waiting in its sockets.
+ * Members are probed only while an operation waits for a quorum or the zone is isolated.
+ * Connections are reopened once before the zone is declared isolated, so that a single gateway
+ * without connectivity can continue through a neighbour. After the process itself was paused, the
+ * observation starts again, because responses may be waiting in its sockets.
  *
  * Decision code: no I/O, clock or threads; an object belongs to one thread. Times are ms of the
  * caller's steady clock.
--- a/src/core/retry/silence.c
+++ b/src/core/retry/silence.c
@@ -5,9 +5,8 @@
     SUSPECT_FACTOR = 3,    /**< Multiple of the typical time to first byte. */
     OVERTAKEN_BY_MS = 400, /**< A call sent this much later has already been answered. */
     LOST_MIN_MS = 800,     /**< Minimum wait for the first byte before a call is considered lost. */
-    STREAM_STALLED_MS =
-        1200, /**< A stream without data for this long is lost if the back end is active. */
-    BACKEND_ACTIVE_MS = 150, /**< A back end that sent data within this time is active. */
+    STREAM_STALLED_MS = 1200, /**< Idle time of a stream that is lost at an active back end. */
+    BACKEND_ACTIVE_MS = 150,  /**< A back end that sent data within this time is active. */
 };
 
 static bool is_lost(const call_signs_t *call, const backend_signs_t *backend, uint64_t now) {
--- a/tests/unit/admission_test.cc
+++ b/tests/unit/admission_test.cc
@@ -207,8 +207,8 @@
 constexpr unsigned gateways = 6;
 constexpr uint64_t call_ms = 150;
 constexpr uint64_t pause_ms = 100;
-constexpr uint64_t patience_ms = 100;
-constexpr uint64_t begun_patience_ms = 1000;
+constexpr uint64_t token_timeout_ms = 100;
+constexpr uint64_t begun_token_timeout_ms = 1000;
 
 struct Answer {
     bool granted;
@@ -218,7 +218,8 @@
 /** Members of the store group and the gateways' view of them. */
 class Fleet {
   public:
-    Fleet(unsigned count, bool whole, unsigned seed) : whole_programs(whole), random(seed) {
+    Fleet(unsigned count, bool by_program, unsigned seed)
+        : admit_programs(by_program), random(seed) {
         members.resize(count);
         for (auto &member : members) {
             member = std::make_unique<Member>();
@@ -247,8 +248,8 @@
         for (unsigned i = 0; i < count; i++)
             known[i] = {members[i]->up, false, hash(tenant + std::to_string(i)), empty[i]};
         unsigned shares = quota_split_count(&bounds, &limit, count);
-        uint64_t patience = patience_ms;
-        if (whole_programs) {
+        uint64_t timeout_ms = token_timeout_ms;
+        if (admit_programs) {
             unsigned homes = program_home_count(&limit, shares);
             unsigned home = program_home_choose(known.data(), count, homes, program);
             program_call_t call = {program, 1, begun, false};
@@ -258,7 +259,7 @@
                                       tenant.c_str(), &limit, count, &call, now, &share);
             if (!admission.admitted)
                 return {false, spread(admission.wait_ms)};
-            patience = begun_patience_ms;
+            timeout_ms = begun_token_timeout_ms;
             if (take(home, tenant, limit, 0, now, &empty[home]).granted)
                 return {true, 0};
             known[home].asked = true;
@@ -267,7 +268,7 @@
         for (;;) {
             quota_decision_t decision = quota_choose(known.data(), count, shares, now, random());
             if (decision.step != QUOTA_ASK)
-                return wait(decision, tenant, limit, patience, now);
+                return wait(decision, tenant, limit, timeout_ms, now);
             if (take(decision.member, tenant, limit, 0, now, &empty[decision.member]).granted)
                 return {true, 0};
             known[decision.member].asked = true;
@@ -285,23 +286,23 @@
         return wait_ms + random() % std::clamp<uint64_t>(wait_ms, 100, 1000);
     }
     quota_answer_t take(unsigned member, const std::string &tenant, const quota_limit_t &limit,
-                        uint32_t patience, uint64_t now, uint64_t *empty) {
+                        uint32_t timeout_ms, uint64_t now, uint64_t *empty) {
         quota_answer_t answer = quota_table_take(&members[member]->quotas, tenant.c_str(), &limit,
-                                                 (unsigned)members.size(), patience, now);
+                                                 (unsigned)members.size(), timeout_ms, now);
         if (!answer.granted)
             *empty = now + answer.wait_ms;
         return answer;
     }
     Answer wait(const quota_decision_t &decision, const std::string &tenant,
-                const quota_limit_t &limit, uint64_t patience, uint64_t now) {
+                const quota_limit_t &limit, uint64_t timeout_ms, uint64_t now) {
         uint64_t ignored;
-        if (decision.step != QUOTA_REFUSE || decision.wait_ms > patience)
+        if (decision.step != QUOTA_REFUSE || decision.wait_ms > timeout_ms)
             return {false, spread(decision.wait_ms)};
         quota_answer_t answer =
-            take(decision.member, tenant, limit, (uint32_t)patience, now, &ignored);
+            take(decision.member, tenant, limit, (uint32_t)timeout_ms, now, &ignored);
         return {answer.granted, answer.granted ? answer.wait_ms : spread(answer.wait_ms)};
     }
-    bool whole_programs;
+    bool admit_programs;
     std::mt19937 random;
     std::vector<std::unique_ptr<Member>> members;
     std::map<std::pair<std::string, uint64_t>, std::vector<uint64_t>> empty_until;
@@ -310,17 +311,17 @@
 struct Tenant {
     std::string name;
     quota_limit_t limit;
-    double usual;       /**< Demand as a multiple of the limit. */
-    double crowd;       /**< The same from 10 s to 17 s. */
+    double baseline;    /**< Demand as a multiple of the limit. */
+    double burst;       /**< The same from 10 s to 17 s. */
     bool loops = false; /**< A tenth of its programs is endless. */
 };
 
 struct Outcome {
     int begun = 0;
-    int in_aim = 0;
+    int on_time = 0;
     int finished = 0;
     int refused_first = 0; /**< Never admitted. */
-    int cut = 0;           /**< Given up after some of their calls have run. */
+    int interrupted = 0;   /**< Given up after some of their calls have run. */
     int wasted = 0;        /**< Calls that ran for programs that were given up. */
     int calls = 0;
     std::vector<uint64_t> used;
@@ -343,16 +344,16 @@
 };
 
 /** Simulates programs of about 4 and 9 turns, each turn followed by up to two tool calls. */
-class Crowd {
+class Workload {
   public:
-    Crowd(Fleet &fleet, std::vector<Tenant> tenants, unsigned seed)
+    Workload(Fleet &fleet, std::vector<Tenant> tenants, unsigned seed)
         : fleet(fleet), tenants(std::move(tenants)), random(seed) {
         outcomes.resize(this->tenants.size());
     }
     void at(uint64_t time, std::function<void()> what) {
         events.emplace(time, std::move(what));
     }
-    void play(uint64_t until) {
+    void simulate(uint64_t until) {
         for (size_t i = 0; i < tenants.size(); i++)
             arrive(i, until);
         while (!events.empty() && events.begin()->first < until + 60000) {
@@ -363,7 +364,7 @@
         }
     }
     /** A random part of the active programs stops. */
-    void kill_part(unsigned one_in) {
+    void stop_programs(unsigned one_in) {
         for (auto &program : live)
             if (auto alive = program.lock(); alive && random() % one_in == 0)
                 alive->killed = true;
@@ -383,7 +384,7 @@
     static constexpr double mean_calls = 13;
     void arrive(size_t i, uint64_t until) {
         const Tenant &tenant = tenants[i];
-        double times = now >= 10000 && now < 17000 ? tenant.crowd : tenant.usual;
+        double times = now >= 10000 && now < 17000 ? tenant.burst : tenant.baseline;
         double per_ms = tenant.limit.rate / 1000.0 * times / mean_calls;
         uint64_t next = now + (uint64_t)std::exponential_distribution<>(per_ms)(random);
         if (now > 0)
@@ -428,7 +429,7 @@
         }
         uint64_t idle = program->calls * call_ms + (program->calls - 1) * pause_ms;
         outcome.finished++;
-        outcome.in_aim += now - program->begun_at <= idle * 3 / 2 + 250;
+        outcome.on_time += now - program->begun_at <= idle * 3 / 2 + 250;
     }
     /** Each call has three attempts. */
     void refused(const std::shared_ptr<Program> &program, uint64_t wait_ms) {
@@ -438,7 +439,7 @@
             return;
         }
         outcome.refused_first += program->made == 0;
-        outcome.cut += program->made > 0;
+        outcome.interrupted += program->made > 0;
         outcome.wasted += (int)program->made;
     }
     Fleet &fleet;
@@ -450,31 +451,31 @@
     uint64_t ids = 0;
 };
 
-void report(const char *what, bool whole, const Outcome &outcome, const Tenant &tenant) {
+void report(const char *what, bool by_program, const Outcome &outcome, const Tenant &tenant) {
     printf(
         "%-28s %-7s begun %d in aim %d finished %d refused first %d cut %d wasted %d of %d calls; "
         "share of the limit used 11..17 s %.2f; fullest window %.2f\n",
-        what, whole ? "whole" : "by call", outcome.begun, outcome.in_aim, outcome.finished,
-        outcome.refused_first, outcome.cut, outcome.wasted, outcome.calls,
+        what, by_program ? "whole" : "by call", outcome.begun, outcome.on_time, outcome.finished,
+        outcome.refused_first, outcome.interrupted, outcome.wasted, outcome.calls,
         outcome.in_span(11000, 17000) / (6.0 * tenant.limit.rate),
         outcome.fullest() / allowed(tenant.limit));
 }
 
-using Trouble = std::function<void(Crowd &, Fleet &)>;
+using FaultInjection = std::function<void(Workload &, Fleet &)>;
 
-std::vector<Outcome> play(const char *what, bool whole, unsigned members,
-                          const std::vector<Tenant> &tenants, const Trouble &trouble = nullptr,
-                          unsigned seed = 1) {
-    Fleet fleet(members, whole, seed);
-    Crowd crowd(fleet, tenants, seed);
-    if (trouble)
-        trouble(crowd, fleet);
-    crowd.play(27000);
+std::vector<Outcome> simulate(const char *what, bool by_program, unsigned members,
+                              const std::vector<Tenant> &tenants,
+                              const FaultInjection &inject_faults = nullptr, unsigned seed = 1) {
+    Fleet fleet(members, by_program, seed);
+    Workload burst(fleet, tenants, seed);
+    if (inject_faults)
+        inject_faults(burst, fleet);
+    burst.simulate(27000);
     for (size_t i = 0; i < tenants.size(); i++) {
-        report(what, whole, crowd.outcomes[i], tenants[i]);
-        EXPECT_LE(crowd.outcomes[i].fullest(), allowed(tenants[i].limit)) << what;
+        report(what, by_program, burst.outcomes[i], tenants[i]);
+        EXPECT_LE(burst.outcomes[i].fullest(), allowed(tenants[i].limit)) << what;
     }
-    return crowd.outcomes;
+    return burst.outcomes;
 }
 
 const Tenant hot = {"hot", {1, 400, 400}, 0.6, 6};
@@ -482,17 +483,17 @@
 /** Sums over three seeds, with admission per call and per program. */
 struct Pair {
     Outcome by_call;
-    Outcome whole;
+    Outcome by_program;
     double used = 0; /**< Minimum share of the limit used from 11 s to 17 s, per program. */
     double used_by_call = 0;
 };
 
 void add(Outcome &sum, const Outcome &outcome) {
     sum.begun += outcome.begun;
-    sum.in_aim += outcome.in_aim;
+    sum.on_time += outcome.on_time;
     sum.finished += outcome.finished;
     sum.refused_first += outcome.refused_first;
-    sum.cut += outcome.cut;
+    sum.interrupted += outcome.interrupted;
     sum.wasted += outcome.wasted;
     sum.calls += outcome.calls;
 }
@@ -501,16 +502,18 @@
     return outcome.in_span(11000, 17000) / (6.0 * tenant.limit.rate);
 }
 
-std::vector<Pair> play_both(const char *what, unsigned members, const std::vector<Tenant> &tenants,
-                            const Trouble &trouble = nullptr) {
+std::vector<Pair> simulate_both(const char *what, unsigned members,
+                                const std::vector<Tenant> &tenants,
+                                const FaultInjection &inject_faults = nullptr) {
     std::vector<Pair> pairs(tenants.size());
     for (unsigned seed = 1; seed <= 3; seed++) {
-        std::vector<Outcome> by_call = play(what, false, members, tenants, trouble, seed);
-        std::vector<Outcome> whole = play(what, true, members, tenants, trouble, seed);
+        std::vector<Outcome> by_call = simulate(what, false, members, tenants, inject_faults, seed);
+        std::vector<Outcome> by_program =
+            simulate(what, true, members, tenants, inject_faults, seed);
         for (size_t i = 0; i < tenants.size(); i++) {
             add(pairs[i].by_call, by_call[i]);
-            add(pairs[i].whole, whole[i]);
-            double used = share_used(whole[i], tenants[i]);
+            add(pairs[i].by_program, by_program[i]);
+            double used = share_used(by_program[i], tenants[i]);
             pairs[i].used = seed == 1 ? used : std::min(pairs[i].used, used);
             pairs[i].used_by_call += share_used(by_call[i], tenants[i]) / 3;
         }
@@ -519,85 +522,87 @@
 }
 
 /** Expects that admitted programs complete, and no fewer than with admission per call. */
-void expect_whole(const Pair &pair, double more) {
-    EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim * more);
-    EXPECT_LE(pair.whole.cut, pair.whole.begun / 100) << "admitted programs must complete";
-    EXPECT_GT(pair.by_call.cut, pair.by_call.begun / 5) << "the load must interrupt programs";
-    EXPECT_LE(pair.whole.wasted, pair.whole.calls / 50);
+void expect_complete_programs(const Pair &pair, double more) {
+    EXPECT_GE(pair.by_program.on_time, pair.by_call.on_time * more);
+    EXPECT_LE(pair.by_program.interrupted, pair.by_program.begun / 100)
+        << "admitted programs must complete";
+    EXPECT_GT(pair.by_call.interrupted, pair.by_call.begun / 5)
+        << "the load must interrupt programs";
+    EXPECT_LE(pair.by_program.wasted, pair.by_program.calls / 50);
 }
 
-TEST(Crowd, AtSixTimesItsLimitATenantsProgramsRunWholeOrNotAtAll) {
+TEST(Workload, AtSixTimesTheLimitAdmittedProgramsComplete) {
     for (unsigned members : {5u, 8u}) {
-        Pair pair = play_both("6 x", members, {hot})[0];
-        expect_whole(pair, 1.2);
+        Pair pair = simulate_both("6 x", members, {hot})[0];
+        expect_complete_programs(pair, 1.2);
         EXPECT_GE(pair.used, 0.98) << "the limit is used";
     }
 }
 
-TEST(Crowd, ALargeTenantIsServedAlike) {
-    Pair pair = play_both("6 x of 2000 a s", 8, {{"hot", {1, 2000, 2000}, 0.6, 6}})[0];
-    expect_whole(pair, 1.2);
+TEST(Workload, ALargeTenantIsServedAlike) {
+    Pair pair = simulate_both("6 x of 2000 a s", 8, {{"hot", {1, 2000, 2000}, 0.6, 6}})[0];
+    expect_complete_programs(pair, 1.2);
     EXPECT_GE(pair.used, 0.98);
 }
 
-TEST(Crowd, ASmallTenantsProgramsAreCutLessOften) {
-    Pair pair = play_both("6 x of 30 a s", 8, {{"hot", {1, 30, 30}, 0.6, 6}})[0];
-    EXPECT_GE(pair.whole.finished, pair.by_call.finished);
-    EXPECT_LE(pair.whole.cut, pair.by_call.cut / 10);
+TEST(Workload, ASmallTenantsProgramsAreInterruptedLessOften) {
+    Pair pair = simulate_both("6 x of 30 a s", 8, {{"hot", {1, 30, 30}, 0.6, 6}})[0];
+    EXPECT_GE(pair.by_program.finished, pair.by_call.finished);
+    EXPECT_LE(pair.by_program.interrupted, pair.by_call.interrupted / 10);
 }
 
-TEST(Crowd, NoCallIsRefusedWithinTheLimit) {
+TEST(Workload, NoCallIsRefusedWithinTheLimit) {
     for (uint32_t rate : {3u, 8u, 30u, 100u, 400u}) {
-        Pair pair = play_both("0.6 x", 8, {{"calm", {1, rate, rate}, 0.6, 0.6}})[0];
-        EXPECT_EQ(pair.whole.refused_first, 0) << rate;
-        EXPECT_EQ(pair.whole.cut, 0) << rate;
-        EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim) << rate;
+        Pair pair = simulate_both("0.6 x", 8, {{"calm", {1, rate, rate}, 0.6, 0.6}})[0];
+        EXPECT_EQ(pair.by_program.refused_first, 0) << rate;
+        EXPECT_EQ(pair.by_program.interrupted, 0) << rate;
+        EXPECT_GE(pair.by_program.on_time, pair.by_call.on_time) << rate;
     }
 }
 
-TEST(Crowd, AMemberIsLostHalfway) {
-    Pair pair = play_both("member lost", 8, {hot}, [](Crowd &crowd, Fleet &fleet) {
-        crowd.at(13000, [&fleet] { fleet.set_up(2, false); });
+TEST(Workload, AMemberIsLostHalfway) {
+    Pair pair = simulate_both("member lost", 8, {hot}, [](Workload &burst, Fleet &fleet) {
+        burst.at(13000, [&fleet] { fleet.set_up(2, false); });
     })[0];
-    expect_whole(pair, 1);
+    expect_complete_programs(pair, 1);
     EXPECT_GE(pair.used, pair.used_by_call * 0.85);
 }
 
-TEST(Crowd, AllMembersRestartAndForget) {
-    Pair pair = play_both("members restart", 8, {hot}, [](Crowd &crowd, Fleet &fleet) {
+TEST(Workload, AllMembersRestartAndForget) {
+    Pair pair = simulate_both("members restart", 8, {hot}, [](Workload &burst, Fleet &fleet) {
         for (unsigned i = 0; i < 8; i++) {
-            crowd.at(13000 + i * 300, [&fleet, i] { fleet.set_up(i, false); });
-            crowd.at(13600 + i * 300, [&fleet, i] { fleet.set_up(i, true); });
+            burst.at(13000 + i * 300, [&fleet, i] { fleet.set_up(i, false); });
+            burst.at(13600 + i * 300, [&fleet, i] { fleet.set_up(i, true); });
         }
     })[0];
-    EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim);
-    EXPECT_LE(pair.whole.cut, pair.by_call.cut / 4);
+    EXPECT_GE(pair.by_program.on_time, pair.by_call.on_time);
+    EXPECT_LE(pair.by_program.interrupted, pair.by_call.interrupted / 4);
 }
 
-TEST(Crowd, ProgramsOfAKilledGatewayReleaseTheirCapacity) {
-    Pair pair = play_both("gateway killed", 8, {hot}, [](Crowd &crowd, Fleet &fleet) {
+TEST(Workload, ProgramsOfAKilledGatewayReleaseTheirCapacity) {
+    Pair pair = simulate_both("gateway killed", 8, {hot}, [](Workload &burst, Fleet &fleet) {
         (void)fleet;
-        crowd.at(13000, [&crowd] { crowd.kill_part(3); });
+        burst.at(13000, [&burst] { burst.stop_programs(3); });
     })[0];
-    expect_whole(pair, 1.1);
+    expect_complete_programs(pair, 1.1);
     EXPECT_GE(pair.used, 0.95);
 }
 
-TEST(Crowd, TwoTenantsOverTheirLimitsDontCostEachOther) {
+TEST(Workload, TenantsOverTheirLimitsDoNotAffectEachOther) {
     const Tenant other = {"other", {1, 200, 200}, 0.6, 3};
-    std::vector<Pair> both = play_both("two", 8, {hot, other});
-    Pair alone = play_both("one", 8, {hot})[0];
-    expect_whole(both[0], 1.2);
-    EXPECT_LE(both[1].whole.cut, both[1].whole.begun / 100);
-    EXPECT_GE(both[1].whole.in_aim, both[1].by_call.in_aim);
-    EXPECT_GE(both[0].whole.in_aim, alone.whole.in_aim * 0.95);
+    std::vector<Pair> both = simulate_both("two", 8, {hot, other});
+    Pair alone = simulate_both("one", 8, {hot})[0];
+    expect_complete_programs(both[0], 1.2);
+    EXPECT_LE(both[1].by_program.interrupted, both[1].by_program.begun / 100);
+    EXPECT_GE(both[1].by_program.on_time, both[1].by_call.on_time);
+    EXPECT_GE(both[0].by_program.on_time, alone.by_program.on_time * 0.95);
 }
 
-TEST(Crowd, EndlessProgramsGetUnusedCapacity) {
+TEST(Workload, EndlessProgramsGetUnusedCapacity) {
     Tenant looping = {"hot", {1, 400, 400}, 0.6, 6, true};
-    Pair pair = play_both("loops", 8, {looping})[0];
-    EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim);
-    EXPECT_LE(pair.whole.cut, pair.whole.begun / 100);
+    Pair pair = simulate_both("loops", 8, {looping})[0];
+    EXPECT_GE(pair.by_program.on_time, pair.by_call.on_time);
+    EXPECT_LE(pair.by_program.interrupted, pair.by_program.begun / 100);
 }
 
 } // namespace
--- a/tests/unit/zone_silence_test.cc
+++ b/tests/unit/zone_silence_test.cc
@@ -21,7 +21,7 @@
   public:
     std::vector<zone_member_t> members;
     std::vector<bool> reached; // Probes are answered.
-    zone_silence_t silence = {};
+    zone_silence_t isolation = {};
     uint64_t now = 10000;
     uint64_t waits_since = 0; // An operation has been waiting since then; 0: none.
     unsigned probes = 0;
@@ -48,11 +48,11 @@
         return waits_since > 0 && now >= waits_since + ZONE_WAIT_MS;
     }
     void check() {
-        bool before = silence.cut;
+        bool before = isolation.cut;
         zone_silence_step_t step =
-            zone_silence_look(&silence, members.data(), members.size(), quorum, waiting(), now);
-        isolations += !before && silence.cut;
-        ends += before && !silence.cut;
+            zone_silence_look(&isolation, members.data(), members.size(), quorum, waiting(), now);
+        isolations += !before && isolation.cut;
+        ends += before && !isolation.cut;
         if (step == ZONE_SILENCE_RECONNECT) {
             reconnects++;
             if (neighbour_reaches)
@@ -97,10 +97,10 @@
         here.isolate(true);
         uint64_t began = here.now;
         here.waits_since = began;
-        while (!here.silence.cut && here.now < began + 2000)
+        while (!here.isolation.cut && here.now < began + 2000)
             here.run(ZONE_LOOK_MS, random() % ZONE_LOOK_MS);
-        ASSERT_TRUE(here.silence.cut);
-        uint64_t taken = here.silence.since - began;
+        ASSERT_TRUE(here.isolation.cut);
+        uint64_t taken = here.isolation.since - began;
         first = std::min(first, taken);
         last = std::max(last, taken);
         here.run(6000);
@@ -125,11 +125,11 @@
     Gateway here;
     here.isolate(true);
     here.run(2000);
-    EXPECT_FALSE(here.silence.cut) << "no operation is waiting";
+    EXPECT_FALSE(here.isolation.cut) << "no operation is waiting";
     here.waits_since =
         here.now - ZONE_WAIT_MS; // A neighbour's report counts as a waiting operation.
     here.run(ZONE_SUSPECT_MAX_MS);
-    EXPECT_TRUE(here.silence.cut);
+    EXPECT_TRUE(here.isolation.cut);
 }
 
 TEST(ZoneIsolation, LossOfOneMemberOrOneOtherZoneIsNoIsolation) {
@@ -154,7 +154,7 @@
     here.waits_since = here.now;
     here.run(5000);
     EXPECT_EQ(here.isolations, 0U) << "other gateways are no better off";
-    EXPECT_FALSE(zone_silence_in_doubt(&here.silence, here.now))
+    EXPECT_FALSE(zone_silence_in_doubt(&here.isolation, here.now))
         << "callers must not wait for the decision";
 }
 
@@ -164,7 +164,7 @@
     here.isolate(true);
     here.waits_since = here.now;
     here.run(600);
-    EXPECT_TRUE(here.silence.cut) << "unsolicited frames do not count as responses";
+    EXPECT_TRUE(here.isolation.cut) << "unsolicited frames do not count as responses";
 }
 
 TEST(ZoneIsolation, ASingleDisconnectedGatewayContinuesThroughANeighbour) {
@@ -182,7 +182,7 @@
     here.isolate(true);
     here.waits_since = here.now;
     here.run(600);
-    ASSERT_TRUE(here.silence.cut);
+    ASSERT_TRUE(here.isolation.cut);
     // Connections through neighbours are reopened repeatedly without any response.
     here.run(6000);
     EXPECT_EQ(here.ends, 0U);
@@ -197,7 +197,7 @@
     here.waits_since = here.now;
     here.isolate(true);
     here.run(600);
-    ASSERT_TRUE(here.silence.cut);
+    ASSERT_TRUE(here.isolation.cut);
     for (unsigned i = 0; i < 20; i++) {
         here.isolate(false);
         here.run(150);
@@ -207,9 +207,9 @@
     EXPECT_EQ(here.ends, 0U);
     here.isolate(false);
     uint64_t restored = here.now;
-    while (here.silence.cut && here.now < restored + 5000)
+    while (here.isolation.cut && here.now < restored + 5000)
         here.run(ZONE_LOOK_MS);
-    EXPECT_FALSE(here.silence.cut);
+    EXPECT_FALSE(here.isolation.cut);
     EXPECT_GE(here.now - restored, uint64_t{ZONE_RECOVERY_MS});
     EXPECT_LE(here.now - restored, uint64_t{ZONE_RECOVERY_MS + 4 * ZONE_PROBE_INTERVAL_MS});
     EXPECT_EQ(here.isolations, 1U);
