--- a/src/core/admission/call_counts.c
+++ b/src/core/admission/call_counts.c
@@ -6,9 +6,9 @@
     MIN_ENDED = 8,      /**< Ended programs required for a forecast. */
     COUNTED_MAX = 1000, /**< Started programs; beyond, all counts are halved. */
     PRIOR_WEIGHT = 2, /**< Weight of the overall rate in the estimate of each slot, in programs. */
-    ENDLESS_FACTOR =
-        4, /**< A program with more than this multiple of the mean is considered endless, */
-    ENDLESS_MIN_CALLS = 64, /**< but never with fewer calls than this. */
+    /** A program is considered endless beyond this multiple of the mean number of calls. */
+    ENDLESS_FACTOR = 4,
+    ENDLESS_MIN_CALLS = 64, /**< A program with fewer calls is never considered endless. */
     MEAN_MAX = 64,          /**< Upper bound of the forecast mean. */
 };
 
--- a/src/core/admission/call_counts.h
+++ b/src/core/admission/call_counts.h
@@ -19,7 +19,7 @@
 typedef struct {
     float continued[CALL_COUNTS_LENGTH]; /**< Programs that made call k + 1 after k calls. */
     float ended[CALL_COUNTS_LENGTH];     /**< Programs that ended after k calls. */
-    float started;                       /**< Started programs. */
+    float started;
     float total_ended;
     float total_continued;
     bool stale;                                     /**< The forecast must be recomputed. */
@@ -31,8 +31,8 @@
 /** Forecast for a program that has made some calls. */
 typedef struct {
     double continue_probability; /**< Of at least one more call. */
-    double mean;                 /**< Expected remaining calls, given one more. */
-    double mean_square;          /**< Mean square of the remaining calls, given one more. */
+    double mean;                 /**< Expected remaining calls, if there is at least one. */
+    double mean_square; /**< Mean square of the remaining calls, if there is at least one. */
 } call_forecast_t;
 
 /** Records a program's call number @p calls, from 1. */
--- a/src/core/admission/program_ledger.c
+++ b/src/core/admission/program_ledger.c
@@ -14,7 +14,7 @@
 #include <math.h>
 
 enum {
-    PROGRAMS_MAX = 10000, /**< Tracked. */
+    PROGRAMS_MAX = 10000, /**< Maximum number of tracked programs. */
     PENDING_MAX = 20000,  /**< Calls that are yet to be counted; further calls are dropped. */
     KINDS_MAX = 16,       /**< Kinds with their own counts; the rest share the overall counts. */
     DEMAND_CACHE_MS = 10, /**< Validity of the cached demand. */
@@ -23,17 +23,18 @@
     IDLE_MAX_MS = 5000,
     GAP_INITIAL_MS = 500, /**< Initial estimate of the time between calls of a program. */
     SOON_MS = 100,        /**< A token available within this time counts as available. */
-    FEW_PROGRAMS = 4,     /**< Below this capacity, the demand of a new program is ignored. */
+    FEW_PROGRAMS = 4, /**< If the refill rate sustains fewer, a new program's demand is ignored. */
     WAIT_MIN_MS = 100,
     WAIT_MAX_MS = 2000, /**< Callers wait a few seconds; capacity may become available earlier. */
 };
 
 /** Margin above the mean demand, in standard deviations (90th percentile). */
 static const double MARGIN_DEVIATIONS = 1.28;
-/** Upper bound of the margin, as a fraction of the bucket; the rest is left for bursts. */
+/** Maximum of this margin, as a fraction of the bucket size; the rest is left for bursts. */
 static const double MARGIN_MAX_FRACTION = 0.5;
-/** EWMA gain of the gap, and the mean deviations above it that make a program idle. */
+/** Gain of the EWMA of the gap, the time between calls of a program. */
 static const double GAP_GAIN = 1.0 / 32;
+/** A program is idle after the mean gap plus this many mean deviations. */
 static const double GAP_DEVIATIONS = 6;
 
 typedef enum { PROGRAM_ACTIVE, PROGRAM_ENDED, PROGRAM_REFUSED } program_state_t;
@@ -97,7 +98,7 @@
     return g_hash_table_size(ledger->programs);
 }
 
-static call_counts_t *counts_of(program_ledger_t *ledger, uint64_t kind) {
+static call_counts_t *obtain_counts(program_ledger_t *ledger, uint64_t kind) {
     call_counts_t *counts = g_hash_table_lookup(ledger->kinds, &kind);
     if (counts != NULL || kind == 0)
         return counts == NULL ? &ledger->all : counts;
@@ -118,7 +119,7 @@
     return (uint64_t)CLAMP(idle_ms, (double)IDLE_MIN_MS, (double)IDLE_MAX_MS);
 }
 
-/** Only programs tracked since their first call are counted. */
+/** Schedules counting of the latest call, if the program was tracked from its first call. */
 static void schedule_count(program_ledger_t *ledger, const entry_t *entry, uint64_t now) {
     if (!entry->complete || ledger->pending->len >= PENDING_MAX)
         return;
@@ -150,14 +151,14 @@
         call_counts_record_end(&ledger->all, entry->calls, ended);
 }
 
-static GQueue *queue_of(program_ledger_t *ledger, const entry_t *entry) {
+static GQueue *entry_queue(program_ledger_t *ledger, const entry_t *entry) {
     return entry->state == PROGRAM_ACTIVE ? &ledger->active : &ledger->inactive;
 }
 
 static void set_state(program_ledger_t *ledger, entry_t *entry, program_state_t state) {
-    g_queue_unlink(queue_of(ledger, entry), &entry->link);
+    g_queue_unlink(entry_queue(ledger, entry), &entry->link);
     entry->state = state;
-    g_queue_push_tail_link(queue_of(ledger, entry), &entry->link);
+    g_queue_push_tail_link(entry_queue(ledger, entry), &entry->link);
 }
 
 static void expire(program_ledger_t *ledger, uint64_t now) {
@@ -184,12 +185,12 @@
     entry_t *entry = g_new0(entry_t, 1);
     entry->id = call->program;
     entry->last_call_at = now;
-    entry->counts = counts_of(ledger, call->begun ? 0 : call->kind);
+    entry->counts = obtain_counts(ledger, call->begun ? 0 : call->kind);
     entry->state = state;
     entry->complete = !call->begun;
     entry->link.data = entry;
     g_hash_table_insert(ledger->programs, &entry->id, entry);
-    g_queue_push_tail_link(queue_of(ledger, entry), &entry->link);
+    g_queue_push_tail_link(entry_queue(ledger, entry), &entry->link);
     return entry;
 }
 
@@ -199,7 +200,6 @@
     ledger->gap_deviation_ms += GAP_GAIN * (deviation - ledger->gap_deviation_ms);
 }
 
-/** Records an admitted call. */
 static void record_admitted_call(program_ledger_t *ledger, entry_t *entry, bool waited,
                                  uint64_t now) {
     if (entry->state == PROGRAM_ENDED)
@@ -219,7 +219,7 @@
     set_state(ledger, entry, PROGRAM_REFUSED);
 }
 
-/** Calls are assumed to be evenly distributed over the gap. */
+/** Mean gap, at least 1 ms, for use as a divisor. */
 static double gap_ms(const program_ledger_t *ledger) {
     return fmax(ledger->gap_ms, 1);
 }
@@ -229,18 +229,18 @@
     return call_counts_sufficient(counts) && entry->calls > call_counts_max_calls(counts);
 }
 
-static void add_entry(program_ledger_t *ledger, demand_t *demand, const entry_t *entry,
-                      uint64_t now) {
+static void add_entry_demand(program_ledger_t *ledger, demand_t *demand, const entry_t *entry,
+                             uint64_t now) {
     if (is_endless(ledger, entry))
         return;
-    call_forecast_t ahead =
+    call_forecast_t forecast =
         call_counts_forecast(forecast_counts(ledger, entry->counts), entry->calls);
     double idle = exp(-(double)(now - entry->last_call_at) / gap_ms(ledger));
-    double alive = ahead.continue_probability * idle /
-                   (ahead.continue_probability * idle + 1 - ahead.continue_probability);
-    double mean = alive * ahead.mean;
+    double alive = forecast.continue_probability * idle /
+                   (forecast.continue_probability * idle + 1 - forecast.continue_probability);
+    double mean = alive * forecast.mean;
     demand->owed += mean;
-    demand->variance += fmax(alive * ahead.mean_square - mean * mean, 0);
+    demand->variance += fmax(alive * forecast.mean_square - mean * mean, 0);
     demand->calls_per_ms += alive / gap_ms(ledger);
 }
 
@@ -252,7 +252,7 @@
     ledger->demand = (demand_t){0};
     if (call_counts_sufficient(&ledger->all))
         for (GList *link = ledger->active.head; link != NULL; link = link->next)
-            add_entry(ledger, &ledger->demand, link->data, now);
+            add_entry_demand(ledger, &ledger->demand, link->data, now);
     return &ledger->demand;
 }
 
@@ -275,29 +275,30 @@
 }
 
 static demand_t with_one_more(const program_ledger_t *ledger, const demand_t *demand,
-                              const call_forecast_t *ahead) {
+                              const call_forecast_t *forecast) {
     return (demand_t){
-        .owed = demand->owed + ahead->mean,
-        .variance = demand->variance + fmax(ahead->mean_square - ahead->mean * ahead->mean, 0),
+        .owed = demand->owed + forecast->mean,
+        .variance =
+            demand->variance + fmax(forecast->mean_square - forecast->mean * forecast->mean, 0),
         .calls_per_ms = demand->calls_per_ms + 1 / gap_ms(ledger),
     };
 }
 
-/** Decides whether one more program can be completed. */
+/** Decides whether the capacity suffices for one more program. */
 static program_admission_t evaluate(program_ledger_t *ledger, call_counts_t *counts,
                                     const program_share_t *share, uint64_t now) {
     program_admission_t admission = {.under_way = ledger->active.length};
     double missing = fmax(1 - share->tokens - share->tokens_per_ms * SOON_MS, 0);
     if (call_counts_sufficient(&ledger->all)) {
         const demand_t *demand = compute_demand(ledger, now);
-        call_forecast_t ahead = call_counts_forecast(forecast_counts(ledger, counts), 0);
-        demand_t more = with_one_more(ledger, demand, &ahead);
+        call_forecast_t forecast = call_counts_forecast(forecast_counts(ledger, counts), 0);
+        demand_t more = with_one_more(ledger, demand, &forecast);
         bool few = share->tokens_per_ms * gap_ms(ledger) < FEW_PROGRAMS;
         if (ledger->active.length > 0)
             missing = fmax(missing, few ? shortfall(demand, share, 0)
                                         : shortfall(&more, share, MARGIN_DEVIATIONS));
         admission.owed = demand->owed;
-        admission.expected = ahead.mean;
+        admission.expected = forecast.mean;
         if (missing <= 0)
             ledger->demand = more;
     }
@@ -317,8 +318,8 @@
     program_admission_t admission = {.admitted = true, .under_way = ledger->active.length};
     bool endless = entry != NULL && begun && is_endless(ledger, entry);
     if (!begun || endless)
-        admission = evaluate(ledger, entry == NULL ? counts_of(ledger, call->kind) : entry->counts,
-                             share, now);
+        admission = evaluate(
+            ledger, entry == NULL ? obtain_counts(ledger, call->kind) : entry->counts, share, now);
     if (refused && !call->begun && call->late) {
         admission.admitted = false;
         admission.wait_ms = WAIT_MAX_MS;
--- a/src/core/admission/program_ledger.h
+++ b/src/core/admission/program_ledger.h
@@ -38,23 +38,23 @@
 } program_share_t;
 
 typedef struct {
-    bool admitted;      /**< True also for an active program. */
-    bool begun;         /**< The program was active before. */
-    bool readmitted;    /**< Admitted after an earlier refusal. */
-    uint32_t wait_ms;   /**< Refused: time until a program of its kind may be admitted. */
-    double owed;        /**< Forecast calls of the active programs. */
-    double expected;    /**< Forecast calls of the new program; 0: not evaluated. */
-    unsigned under_way; /**< Active programs. */
+    bool admitted;    /**< True also for an active program. */
+    bool begun;       /**< The program was active before. */
+    bool readmitted;  /**< Admitted after an earlier refusal. */
+    uint32_t wait_ms; /**< Refused: time until a program of its kind may be admitted. */
+    double owed;      /**< Forecast calls of the active programs. */
+    double expected;  /**< Forecast calls of the new program; 0: not evaluated. */
+    unsigned under_way;
 } program_admission_t;
 
 program_ledger_t *program_ledger_new(void);
 void program_ledger_free(program_ledger_t *ledger);
 /**
- * Decides whether a call may request a token, and records it if so. With @p remember false an
+ * Decides whether a call may request a token, and records it if so. With @p may_add false an
  * unknown program is not tracked.
  */
 program_admission_t program_ledger_admit(program_ledger_t *ledger, const program_call_t *call,
-                                         const program_share_t *share, bool remember, uint64_t now);
+                                         const program_share_t *share, bool may_add, uint64_t now);
 /** Forecast remaining calls of the active programs. */
 double program_ledger_remaining_calls(program_ledger_t *ledger, uint64_t now);
 /** Tracked programs, active or not. */
--- a/src/core/budget/budget_decision.h
+++ b/src/core/budget/budget_decision.h
@@ -1,8 +1,7 @@
 /**
  * @file budget_decision.h
- * Decides whether a program's budget covers a call, over replicas that may each have missed some
- * charges. Neither the sum of a single replica nor a majority of replicas within the budget
- * suffices: each may lack a different charge.
+ * Decides whether a program's budget covers a call. Each replica may have missed different charges,
+ * so it is not sufficient that one replica, or each of a majority, has a sum within the budget.
  *
  * Each replica records the reserve first and responds with a summary of its charges.
  *
@@ -12,7 +11,8 @@
  * reserve, and merged; a settled charge replaces its reserve. As they are read after the reserve
  * was recorded, they include every call recorded earlier at any of these replicas.
  *
- * So of any set of calls of a program, in any order, one counts all others that were granted.
+ * Hence, among the granted calls of a program, at least one was decided with all others counted,
+ * and the budget is not exceeded.
  *
  * Decision code: no I/O, clock or threads.
  */
--- a/src/core/budget/budget_table.h
+++ b/src/core/budget/budget_table.h
@@ -19,8 +19,8 @@
 /** Charge of one call to its program's budget, in tokens. */
 typedef struct {
     char *program;
-    char *call; /**< Id of the call's attempt. */
-    uint64_t most;
+    char *call;     /**< Call id; identifies one attempt of a caller. */
+    uint64_t most;  /**< Maximum tokens that the call can generate. */
     uint64_t spent; /**< Tokens generated; only if settled. */
     bool settled;
     bool durable;    /**< Replicas only: on disk in its current state. */
@@ -30,7 +30,7 @@
 typedef struct {
     GHashTable *programs; /**< Program id to its charges. */
     digest_buckets_t
-        *buckets;     /**< Replicas only; counts all records, digests only those on disk. */
+        *buckets;     /**< Replicas only. Counts of all charges, digests of those on disk. */
     uint64_t charges; /**< Of all programs. */
 } budget_table_t;
 
@@ -62,7 +62,7 @@
 void budget_table_merge(budget_table_t *table, const budget_charge_t *other, uint64_t now);
 /**
  * Records that the state @p written is on disk. A charge that is only in memory, because its write
- * is pending or has failed, is not included in digests and not covered.
+ * is pending or has failed, is not included in digests, and budget_table_covers() is false for it.
  */
 void budget_table_note_kept(budget_table_t *table, const budget_charge_t *written);
 /**
--- a/src/core/isolation/zone_silence.c
+++ b/src/core/isolation/zone_silence.c
@@ -7,7 +7,7 @@
     return received;
 }
 
-static uint64_t before(uint64_t now, uint64_t ms) {
+static uint64_t time_before(uint64_t now, uint64_t ms) {
     return now > ms ? now - ms : 0;
 }
 
@@ -18,7 +18,10 @@
     return false;
 }
 
-/** Time for which all members of other zones have left a probe unanswered; 0: not all have. */
+/**
+ * How long, in ms, every member of the other zones has left a probe unanswered since the suspicion
+ * began; 0 if a member has no unanswered probe or there are no other zones.
+ */
 static uint64_t remote_zones_unresponsive_ms(const zone_silence_t *isolation,
                                              const zone_member_t *members, unsigned count,
                                              uint64_t now) {
@@ -58,7 +61,7 @@
 
 static zone_silence_step_t check_recovery(zone_silence_t *isolation, const zone_member_t *members,
                                           unsigned count, unsigned quorum, uint64_t now) {
-    uint64_t recent = before(now, ZONE_PROBE_INTERVAL_MS + 2 * ZONE_LOOK_MS);
+    uint64_t recent = time_before(now, ZONE_PROBE_INTERVAL_MS + 2 * ZONE_LOOK_MS);
     /* Responses from before the isolation do not count. */
     recent = recent > isolation->since ? recent : isolation->since;
     if (count_received(members, count, recent) < quorum)
@@ -78,7 +81,7 @@
     isolation->checked_at = now;
     if (isolation->cut)
         return check_recovery(isolation, members, count, quorum, now);
-    if (!waiting || count_received(members, count, before(now, ZONE_WAIT_MS)) >= quorum) {
+    if (!waiting || count_received(members, count, time_before(now, ZONE_WAIT_MS)) >= quorum) {
         isolation->doubt_since = 0;
         return ZONE_SILENCE_NOTHING;
     }
--- a/src/core/isolation/zone_silence.h
+++ b/src/core/isolation/zone_silence.h
@@ -6,13 +6,13 @@
  * of the local zone responds. A single unresponsive member may simply have failed. If no member
  * responds, all may have lost power and other gateways are no better off, so the zone is not
  * reported as isolated. Isolation ends once a quorum of storage nodes has responded continuously
- * for ZONE_RECOVERY_MS, so that a connection through a neighbour that is isolated as well does not
- * end it.
+ * for ZONE_RECOVERY_MS. Open connections are not sufficient: they may go through another gateway
+ * that is isolated as well.
  *
  * Members are probed only while an operation waits for a quorum or the zone is isolated.
  * Connections are reopened once before the zone is declared isolated, so that a single gateway
- * without connectivity can continue through a neighbour. After the process itself was paused, the
- * observation starts again, because responses may be waiting in its sockets.
+ * without connectivity can continue through another gateway. If the process itself was paused, the
+ * observation restarts, because unread responses may be waiting in its sockets.
  *
  * Decision code: no I/O, clock or threads; an object belongs to one thread. Times are ms of the
  * caller's steady clock.
@@ -28,18 +28,19 @@
     ZONE_WAIT_MS = 75,
     ZONE_LOOK_MS = 50, /**< While isolation is suspected or established. */
     ZONE_PROBE_INTERVAL_MS = 100,
-    ZONE_RECONNECT_AFTER_MS = 150, /**< Unanswered probes: reopen connections. */
+    ZONE_RECONNECT_AFTER_MS = 150, /**< Probes unanswered for this long: reopen connections. */
     /**
-     * Unanswered probes to all other zones: isolated. Leaves reopened connections time to respond.
+     * The zone is isolated if probes to all other zones are unanswered for this long. Leaves
+     * reopened connections time to respond.
      */
     ZONE_ISOLATED_AFTER_MS = 300,
     ZONE_RECOVERY_MS = 300,   /**< A quorum must respond this long to end the isolation. */
     ZONE_CHECK_LATE_MS = 250, /**< A check this late means that the process was paused. */
-    /** Maximum duration of a suspicion; beyond it the cause is not the zone. */
+    /** An older suspicion is not reported, so that callers do not wait for a decision any more. */
     ZONE_SUSPECT_MAX_MS = ZONE_ISOLATED_AFTER_MS + 2 * ZONE_LOOK_MS,
 };
 
-/** One storage node of the group, over any connection. */
+/** A storage node of the group, connected directly or through another gateway. */
 typedef struct {
     bool near;         /**< In the gateway's zone. */
     uint64_t heard_at; /**< Last response; an opened connection does not count. */
@@ -50,8 +51,8 @@
     bool cut;
     uint64_t since;            /**< When the state last changed. */
     uint64_t recovering_since; /**< While isolated: a quorum has responded since then; 0: none. */
-    uint64_t doubt_since; /**< An operation has waited without a quorum since then; 0: none does. */
-    uint64_t asked_at;    /**< Latest round of probes. */
+    uint64_t doubt_since;      /**< Start of the suspicion; 0: none. */
+    uint64_t asked_at;         /**< Latest round of probes. */
     uint64_t checked_at;
     bool reconnected; /**< During this suspicion. */
 } zone_silence_t;
@@ -64,9 +65,9 @@
 
 /**
  * Evaluates the members and updates the isolation state. @p quorum: members that a write needs.
- * @p waiting: an operation has waited for a quorum for ZONE_WAIT_MS, no quorum is connected, or a
- * neighbour has reported that it has none. To be called every ZONE_LOOK_MS while isolation is
- * suspected or established.
+ * @p waiting: an operation has waited for a quorum for ZONE_WAIT_MS, no quorum is connected, or
+ * another gateway has reported that it has no quorum. To be called every ZONE_LOOK_MS while
+ * isolation is suspected or established.
  */
 zone_silence_step_t zone_silence_look(zone_silence_t *isolation, const zone_member_t *members,
                                       unsigned count, unsigned quorum, bool waiting, uint64_t now);
--- a/src/core/quota/quota_choice.c
+++ b/src/core/quota/quota_choice.c
@@ -29,7 +29,7 @@
     return decision;
 }
 
-/** Index of the member after @p skip others that may have a token. */
+/** Index of a member that may have a token, after skipping @p skip such members. */
 static unsigned nth_with_token(const quota_member_t *members, unsigned count, unsigned shares,
                                uint64_t now, unsigned skip) {
     unsigned index = 0;
--- a/src/core/quota/quota_split.c
+++ b/src/core/quota/quota_split.c
@@ -11,14 +11,15 @@
 /* Fractions of the allowance; see the header. */
 static const double OVERLAP_FRACTION = 0.25;
 static const double RESTART_FRACTION = 0.05;
-/** Grant lifetime as a fraction of overage times window. */
+/** Fraction of the overage available for tokens used late; determines the grant lifetime. */
 static const double GRANT_LIFETIME_FRACTION = 0.25;
 
-/** Tokens of a window without the allowance. */
+/** Tokens of a window within the limit. */
 static double window_tokens(const quota_bounds_t *bounds, const quota_limit_t *limit) {
     return (double)limit->rate * bounds->window_ms / MS_PER_S + limit->burst;
 }
 
+/** Tokens of a window that are permitted beyond the limit. */
 static double allowance(const quota_bounds_t *bounds, const quota_limit_t *limit) {
     return bounds->overage * window_tokens(bounds, limit) + bounds->slack;
 }
@@ -32,21 +33,20 @@
     return count < 1 ? 1 : (unsigned)count;
 }
 
-/** Initial tokens of all members together. */
-static double restart_tokens(const quota_bounds_t *bounds, const quota_limit_t *limit) {
+static double total_initial_tokens(const quota_bounds_t *bounds, const quota_limit_t *limit) {
     return RESTART_FRACTION * allowance(bounds, limit);
 }
 
-/** Allowance left for callers if the limit is split among @p count members. */
+/** Part of the allowance that raises callers' rate and burst, with @p count shares. */
 static double caller_allowance(const quota_bounds_t *bounds, const quota_limit_t *limit,
                                unsigned count, unsigned members) {
     double all = window_tokens(bounds, limit) + allowance(bounds, limit);
     double overlap = count < members ? (double)(count + 1) / count : 1;
     double use = (double)quota_split_grant_ms(bounds) / bounds->window_ms;
     double used_late = (double)limit->rate * quota_split_grant_ms(bounds) / MS_PER_S;
-    double rest =
-        all / overlap - restart_tokens(bounds, limit) - window_tokens(bounds, limit) - used_late;
-    /* Half of it raises the rate, which raises the tokens used late. */
+    double rest = all / overlap - total_initial_tokens(bounds, limit) -
+                  window_tokens(bounds, limit) - used_late;
+    /* Half of the result raises the rate, and with it the tokens used late. */
     return fmax(rest / (1 + use / 2), 0);
 }
 
@@ -61,7 +61,7 @@
         .max_tokens =
             fmax(max_tokens, 1), /* A bucket smaller than one token would never grant any. */
     };
-    share.initial_tokens = fmin(restart_tokens(bounds, limit) / count, share.max_tokens);
+    share.initial_tokens = fmin(total_initial_tokens(bounds, limit) / count, share.max_tokens);
     return share;
 }
 
--- a/src/core/quota/quota_split.h
+++ b/src/core/quota/quota_split.h
@@ -5,11 +5,12 @@
  * is no owner to fail over.
  *
  * Operators allow slightly more than the limit in any window (quota_bounds_t). Most of this
- * allowance is given to callers, half as a higher rate and half as a larger burst. The rest covers
- * a member that counts twice, because gateways that cannot reach it ask another one in its place
- * (only if not all members have a share); the tokens that a restarted member grants at once; and
- * the time between a grant and its use. A restarted member begins with a nearly empty bucket, so
- * that no window exceeds the bounds.
+ * allowance is given to callers, half as a higher rate and half as a larger burst. The rest covers:
+ *
+ * - a share that is granted twice, because gateways that cannot reach its member ask another one
+ *   in its place (only if not all members have a share);
+ * - the initial tokens of a restarted member, whose bucket is nearly empty so that they are few;
+ * - the time between a grant and its use.
  *
  * Decision code: no I/O, clock or threads. Times are in ms.
  */
--- a/src/core/quota/quota_table.h
+++ b/src/core/quota/quota_table.h
@@ -50,8 +50,9 @@
 void quota_table_charge(quota_table_t *table, const char *tenant, const quota_limit_t *limit,
                         unsigned members, uint64_t now);
 /**
- * Discards all buckets, which start nearly empty again. Required after another member has held
- * this place, as keeping full buckets would exceed the bounds.
+ * Discards all buckets; new ones are nearly empty. Required if this node may have been out of the
+ * group for some time: another member may have granted the tokens of its share, and granting them
+ * again would exceed the permitted tokens of a window.
  */
 void quota_table_restart(quota_table_t *table);
 /** Removes tenants without a request since @p before. */
--- a/src/core/retry/answer_time.c
+++ b/src/core/retry/answer_time.c
@@ -5,7 +5,7 @@
 enum {
     MIN_SAMPLES = 8,
     LATE_MIN_MS = 250,   /**< Shorter delays may be scheduling pauses. */
-    LATE_DEVIATIONS = 8, /**< RFC 6298 uses 4; a busy server must not receive extra load. */
+    LATE_DEVIATIONS = 8, /**< More than the 4 of RFC 6298, to add no load to a busy server. */
 };
 static const double MEAN_GAIN = 0.125;
 static const double DEVIATION_GAIN = 0.25;
--- a/src/core/retry/come_back.c
+++ b/src/core/retry/come_back.c
@@ -12,7 +12,7 @@
     if (wait < COME_BACK_SOON_MS)
         return COME_BACK_SOON_MS;
     uint32_t max_ms = max_wait_ms(call);
-    /* With so little time left, the next attempt is the last one in any case. */
+    /* The minimum applies even if the caller honours less: the next attempt is its last one. */
     max_ms = max_ms < COME_BACK_SOON_MS ? COME_BACK_SOON_MS : max_ms;
     return wait < max_ms ? wait : max_ms;
 }
--- a/src/core/retry/come_back.h
+++ b/src/core/retry/come_back.h
@@ -7,9 +7,9 @@
  * of its remaining time that a caller is willing to wait.
  *
  * Callers of an isolated zone are redirected once none of its gateways is considered ready.
- * Attempts before that fail, so the caller is told that time; afterwards a new connection is
- * enough. This also applies if the program's deadline ends earlier: a late response is better than
- * none.
+ * Attempts before the redirection fail, so the caller waits until then; after it, the caller only
+ * has to open a new connection. The wait is the same if the program's deadline passes before the
+ * redirection: a late response is better than none.
  *
  * Decision code: no I/O, clock or threads. Times are in ms.
  */
@@ -26,7 +26,7 @@
     /** When the zone is isolated and the redirection time is unknown or has passed. */
     COME_BACK_ELSEWHERE_MS = 300,
     COME_BACK_HONOURED_PART =
-        3, /**< Callers wait for at most this fraction of their remaining time. */
+        3, /**< Callers wait for at most their remaining time divided by this. */
 };
 
 /** Why the call cannot be served here. */
@@ -44,10 +44,9 @@
                               callers; 0: unknown. */
     uint32_t known_ms;     /**< COME_BACK_KNOWN: time until capacity is available. */
     uint32_t time_left_ms; /**< Until the caller's deadline; UINT32_MAX: none. */
-    uint32_t program_left_ms; /**< Until the program's deadline; UINT32_MAX: none. */
+    uint32_t program_left_ms; /**< Until the program's deadline; UINT32_MAX: none. Only logged. */
 } come_back_t;
 
-/** Returns the time the caller should wait before it retries. */
 uint32_t come_back_ms(const come_back_t *call);
 
 #endif
--- a/src/core/retry/resend.h
+++ b/src/core/retry/resend.h
@@ -3,8 +3,9 @@
  * Decides where a call is sent after an attempt that was refused or whose outcome is unknown.
  *
  * A route limits the number of back ends per call. Back ends that have ended or are unreachable do
- * not count towards the limit: no response can come from them. Resending to the same back end adds
- * none: a stream resumes after its last event, and the prompt is cached.
+ * not count towards the limit: no response can come from them. A resend to the same back end does
+ * not count either, and it is cheap: a stream resumes after its last event, and the prompt is
+ * cached.
  *
  * Decision code: no I/O, clock or threads.
  */
@@ -28,7 +29,7 @@
     unsigned ended;    /**< Of these, back ends that have ended or are unreachable. */
     unsigned repeats;  /**< Resends to the same back end. */
     bool time_left;
-    bool same_usable; /**< The current back end is listed and has not ended. */
+    bool same_usable; /**< The current back end is in the directory and has not announced a stop. */
 } resend_state_t;
 
 /** After an attempt that was not executed. */
--- a/src/core/retry/silence.c
+++ b/src/core/retry/silence.c
@@ -3,9 +3,9 @@
 enum {
     SUSPECT_MIN_MS = 300,  /**< Minimum time without data before a stall is suspected. */
     SUSPECT_FACTOR = 3,    /**< Multiple of the typical time to first byte. */
-    OVERTAKEN_BY_MS = 400, /**< A call sent this much later has already been answered. */
+    OVERTAKEN_BY_MS = 400, /**< A call is overtaken if one sent this much later was answered. */
     LOST_MIN_MS = 800,     /**< Minimum wait for the first byte before a call is considered lost. */
-    STREAM_STALLED_MS = 1200, /**< Idle time of a stream that is lost at an active back end. */
+    STREAM_STALLED_MS = 1200, /**< A stream idle for this long at an active back end is lost. */
     BACKEND_ACTIVE_MS = 150,  /**< A back end that sent data within this time is active. */
 };
 
--- a/tests/unit/zone_silence_test.cc
+++ b/tests/unit/zone_silence_test.cc
@@ -28,7 +28,7 @@
     unsigned reconnects = 0;
     unsigned isolations = 0;
     unsigned ends = 0;
-    bool neighbour_reaches = false; // A reopened connection through a neighbour works.
+    bool neighbour_reaches = false; // A reopened connection through another gateway works.
 
     explicit Gateway(unsigned near = 2, unsigned remote = 5) {
         for (unsigned i = 0; i < near + remote; i++) {
@@ -127,7 +127,7 @@
     here.run(2000);
     EXPECT_FALSE(here.isolation.cut) << "no operation is waiting";
     here.waits_since =
-        here.now - ZONE_WAIT_MS; // A neighbour's report counts as a waiting operation.
+        here.now - ZONE_WAIT_MS; // Another gateway's report counts as a waiting operation.
     here.run(ZONE_SUSPECT_MAX_MS);
     EXPECT_TRUE(here.isolation.cut);
 }
@@ -183,7 +183,7 @@
     here.waits_since = here.now;
     here.run(600);
     ASSERT_TRUE(here.isolation.cut);
-    // Connections through neighbours are reopened repeatedly without any response.
+    // Connections through other gateways are reopened repeatedly without any response.
     here.run(6000);
     EXPECT_EQ(here.ends, 0U);
     // One member of another zone responds: three of seven, no quorum.
