--- a/src/core/admission/program_ledger.c
+++ b/src/core/admission/program_ledger.c
@@ -15,7 +15,7 @@
 
 enum {
     PROGRAMS_MAX = 10000, /**< Maximum number of tracked programs. */
-    PENDING_MAX = 20000,  /**< Calls that are yet to be counted; further calls are dropped. */
+    PENDING_MAX = 20000,  /**< Maximum number of pending counts; further ones are not recorded. */
     KINDS_MAX = 16,       /**< Kinds with their own counts; the rest share the overall counts. */
     DEMAND_CACHE_MS = 10, /**< Validity of the cached demand. */
     RETENTION_MS = 15000, /**< Of ended and refused programs. */
@@ -23,7 +23,11 @@
     IDLE_MAX_MS = 5000,
     GAP_INITIAL_MS = 500, /**< Initial estimate of the time between calls of a program. */
     SOON_MS = 100,        /**< A token available within this time counts as available. */
-    FEW_PROGRAMS = 4, /**< If the refill rate sustains fewer, a new program's demand is ignored. */
+    /**
+     * If the refill rate sustains fewer active programs than this, admission checks only the demand
+     * of those already active, without a margin.
+     */
+    FEW_PROGRAMS = 4,
     WAIT_MIN_MS = 100,
     WAIT_MAX_MS = 2000, /**< Callers wait a few seconds; capacity may become available earlier. */
 };
--- a/src/core/isolation/zone_silence.c
+++ b/src/core/isolation/zone_silence.c
@@ -19,8 +19,8 @@
 }
 
 /**
- * How long, in ms, every member of the other zones has left a probe unanswered since the suspicion
- * began; 0 if a member has no unanswered probe or there are no other zones.
+ * Shortest time, in ms, that a member of another zone has left a probe unanswered, not counting
+ * time before the suspicion; 0 if one has no unanswered probe or there are no other zones.
  */
 static uint64_t remote_zones_unresponsive_ms(const zone_silence_t *isolation,
                                              const zone_member_t *members, unsigned count,
--- a/src/core/isolation/zone_silence.h
+++ b/src/core/isolation/zone_silence.h
@@ -36,7 +36,7 @@
     ZONE_ISOLATED_AFTER_MS = 300,
     ZONE_RECOVERY_MS = 300,   /**< A quorum must respond this long to end the isolation. */
     ZONE_CHECK_LATE_MS = 250, /**< A check this late means that the process was paused. */
-    /** An older suspicion is not reported, so that callers do not wait for a decision any more. */
+    /** An older suspicion is not reported, so that calls stop waiting for its outcome. */
     ZONE_SUSPECT_MAX_MS = ZONE_ISOLATED_AFTER_MS + 2 * ZONE_LOOK_MS,
 };
 
--- a/src/core/quota/quota_choice.h
+++ b/src/core/quota/quota_choice.h
@@ -19,7 +19,7 @@
     bool reachable;
     bool asked;           /**< Already asked for this call, without success. */
     uint64_t rank;        /**< Position in the tenant's ranking; lower comes first. */
-    uint64_t empty_until; /**< The member has reported no token until then. */
+    uint64_t empty_until; /**< The member has reported that it is out of tokens until then. */
 } quota_member_t;
 
 typedef enum {
--- a/src/core/quota/quota_split.c
+++ b/src/core/quota/quota_split.c
@@ -11,7 +11,7 @@
 /* Fractions of the allowance; see the header. */
 static const double OVERLAP_FRACTION = 0.25;
 static const double RESTART_FRACTION = 0.05;
-/** Fraction of the overage available for tokens used late; determines the grant lifetime. */
+/** Fraction of the overage for tokens used some time after their grant; sets the grant lifetime. */
 static const double GRANT_LIFETIME_FRACTION = 0.25;
 
 /** Tokens of a window within the limit. */
@@ -46,7 +46,8 @@
     double used_late = (double)limit->rate * quota_split_grant_ms(bounds) / MS_PER_S;
     double rest = all / overlap - total_initial_tokens(bounds, limit) -
                   window_tokens(bounds, limit) - used_late;
-    /* Half of the result raises the rate, and with it the tokens used late. */
+    /* Half of the result raises the rate, and so the tokens used late:
+       rest = result + use * result / 2. */
     return fmax(rest / (1 + use / 2), 0);
 }
 
--- a/src/core/quota/quota_split.h
+++ b/src/core/quota/quota_split.h
@@ -9,7 +9,7 @@
  *
  * - a share that is granted twice, because gateways that cannot reach its member ask another one
  *   in its place (only if not all members have a share);
- * - the initial tokens of a restarted member, whose bucket is nearly empty so that they are few;
+ * - the initial tokens of a restarted member; they are few, as its bucket starts nearly empty;
  * - the time between a grant and its use.
  *
  * Decision code: no I/O, clock or threads. Times are in ms.
--- a/src/core/retry/answer_time.h
+++ b/src/core/retry/answer_time.h
@@ -16,7 +16,7 @@
 typedef struct {
     double mean;
     double deviation;
-    uint32_t answers; /**< Samples recorded, up to the minimum needed. */
+    uint32_t answers; /**< Number of samples; not counted further once there are enough. */
 } answer_time_t;
 
 /** Records a response time of @p ms. */
--- a/src/core/retry/outage.c
+++ b/src/core/retry/outage.c
@@ -1,6 +1,6 @@
 #include "core/retry/outage.h"
 
-/** The suggested wait is this fraction of the outage so far. */
+/** The suggested wait is the duration of the outage so far divided by this. */
 enum { DURATION_DIVISOR = 4 };
 
 void outage_note(outage_t *outage, uint64_t arrived_at) {
--- a/src/core/retry/resend.h
+++ b/src/core/retry/resend.h
@@ -24,7 +24,7 @@
 } resend_t;
 
 typedef struct {
-    unsigned attempts; /**< Maximum number of back ends, from the route. */
+    unsigned attempts; /**< The route's limit on back ends per call. */
     unsigned backends; /**< Back ends that may have received the call. */
     unsigned ended;    /**< Of these, back ends that have ended or are unreachable. */
     unsigned repeats;  /**< Resends to the same back end. */
