--- a/tests/unit/admission_test.cc
+++ b/tests/unit/admission_test.cc
@@ -1,18 +1,7 @@
-// Programs of tenants with a limit: how many calls they make, which of them may begin, and who
-// keeps account of them. The last part plays a crowd without a network, in virtual time, through
-// the decision code of gateways and members.
-//
-// Load: a tenant that uses 0.6 of its limit of 400 calls a second asks for six times the limit from
-// 10 s to 17 s, by programs of about 4 and 9 turns with up to two tool calls each; each call is
-// tried three times as its answer says; a program's aim is 1.5 times its own time and 250 ms.
-// Callers of 10,576 programs (5 and 8 members, seeds 1 to 3) get, call by call and whole: programs
-// in their aim 2,993 and 3,855, finished 3,434 and 4,015, cut in the middle 4,819 and 0, calls
-// spent on those 16,504 and 0; of the limit at least 1.13 and 1.08 are used (windows may hold a
-// tenth more and the slack), the fullest window holds 0.97 and 0.88 of what is allowed. With a
-// member lost at 13 s (5,288 programs): in aim 1,434 and 1,466, cut 2,374 and 15; with all members
-// restarted in turn 1,475 and 1,527, 2,372 and 23; with a third of the programs fallen silent 1,507
-// and 1,872, 2,241 and 0. Within its limit (2,045 programs, limits of 3 to 400 a second) nobody is
-// refused.
+// Admission of programs of tenants with a limit: call forecasts, ledgers, homes, and a simulation
+// of a burst at six times the limit through the decision code of gateways and members. Guards
+// against programs that are refused after part of their calls have run, and against an exceeded
+// limit.
 #include <glib.h>
 
 extern "C" {
@@ -39,49 +28,45 @@
     return (limit.rate * 5.0 + limit.burst) * (1 + bounds.overage) + bounds.slack;
 }
 
-// Distribution of calls.
-
-void see_program(call_counts_t *counts, unsigned calls, bool ended = true) {
+void record_program(call_counts_t *counts, unsigned calls, bool ended = true) {
     for (unsigned i = 1; i <= calls; i++)
-        call_counts_note_call(counts, i);
+        call_counts_record_call(counts, i);
     if (ended)
-        call_counts_note_end(counts, calls, true);
+        call_counts_record_end(counts, calls, true);
 }
 
-TEST(CallCounts, KnowsNothingUntilSomeProgramsHaveEnded) {
+TEST(CallCounts, HasNoForecastUntilEnoughProgramsHaveEnded) {
     call_counts_t counts = {};
     for (int i = 0; i < 7; i++)
-        see_program(&counts, 4);
-    EXPECT_FALSE(call_counts_known(&counts));
-    see_program(&counts, 4);
-    EXPECT_TRUE(call_counts_known(&counts));
+        record_program(&counts, 4);
+    EXPECT_FALSE(call_counts_sufficient(&counts));
+    record_program(&counts, 4);
+    EXPECT_TRUE(call_counts_sufficient(&counts));
     EXPECT_NEAR(call_counts_forecast(&counts, 0).mean, 4, 0.6);
 }
 
 TEST(CallCounts, AProgramThatHasMadeManyCallsIsOneOfTheLongOnes) {
     call_counts_t counts = {};
     for (int i = 0; i < 50; i++) {
-        see_program(&counts, 2);
-        see_program(&counts, 20);
+        record_program(&counts, 2);
+        record_program(&counts, 20);
     }
     EXPECT_NEAR(call_counts_forecast(&counts, 0).mean, 11, 1);
     call_forecast_t after_two = call_counts_forecast(&counts, 2);
-    EXPECT_NEAR(after_two.chance, 0.5, 0.05);
+    EXPECT_NEAR(after_two.continue_probability, 0.5, 0.05);
     EXPECT_NEAR(after_two.mean, 18, 2) << "if it goes on";
     EXPECT_NEAR(call_counts_forecast(&counts, 15).mean, 5, 1);
 }
 
-TEST(CallCounts, ShortProgramsWhichEndFirstDontHideTheLongOnes) {
+TEST(CallCounts, ShortProgramsDoNotBiasTheForecast) {
     call_counts_t counts = {};
     for (int i = 0; i < 20; i++) {
-        see_program(&counts, 2);
-        see_program(&counts, 10, i < 2);
+        record_program(&counts, 2);
+        record_program(&counts, 10, i < 2);
     }
     EXPECT_GT(call_counts_forecast(&counts, 0).mean, 5.5);
 }
 
-// One ledger.
-
 class Ledger : public testing::Test {
   protected:
     void SetUp() override {
@@ -96,61 +81,62 @@
         program_call_t call = {program, 7, begun, late};
         return program_ledger_admit(ledger, &call, &with, true, now);
     }
-    /** Programs of @p calls that pause 200 ms each, so that their kind is known. */
-    uint64_t learn(unsigned programs, unsigned calls) {
+    /** Programs of @p calls calls with pauses of 200 ms, so that the forecast is available. */
+    uint64_t record_programs(unsigned programs, unsigned calls) {
         uint64_t now = 1000;
         for (unsigned k = 0; k < calls; k++, now += 200)
             for (unsigned i = 0; i < programs; i++)
                 call(1000000 + i, now);
         now += 20000;
-        program_ledger_owed(ledger, now);
+        program_ledger_remaining_calls(ledger, now);
         return now;
     }
     program_ledger_t *ledger = nullptr;
 };
 
-TEST_F(Ledger, AdmitsAsBeforeWhileNothingIsKnown) {
+TEST_F(Ledger, AdmitsByTokensWithoutAForecast) {
     for (uint64_t i = 1; i <= 100; i++)
         EXPECT_TRUE(call(i, 10, false, {1, 0.01, 40}).admitted);
-    EXPECT_FALSE(call(200, 10, false, {-5, 0.01, 40}).admitted) << "no token, and none soon";
+    EXPECT_FALSE(call(200, 10, false, {-5, 0.01, 40}).admitted)
+        << "no token, and none available soon";
 }
 
-TEST_F(Ledger, RefusesANewProgramThatCantBeCarriedThroughAndSaysWhen) {
-    uint64_t now = learn(50, 10);
+TEST_F(Ledger, RefusesANewProgramWithoutCapacityAndReturnsTheWait) {
+    uint64_t now = record_programs(50, 10);
     unsigned admitted = 0;
     program_admission_t last = {};
     for (uint64_t i = 1; i <= 100; i++) {
         last = call(i, now, false, {40, 0.1, 40});
         admitted += last.admitted;
     }
-    EXPECT_GE(admitted, 15u) << "0.1 calls a ms carry 20 programs that make one each 200 ms";
+    EXPECT_GE(admitted, 15u) << "0.1 calls per ms suffice for 20 programs with one call per 200 ms";
     EXPECT_LE(admitted, 30u);
     EXPECT_FALSE(last.admitted);
     EXPECT_GE(last.wait_ms, 100u);
     EXPECT_NEAR(last.expected, 10, 1);
     EXPECT_TRUE(call(1, now + 100, false, {0, 0.1, 40}).begun);
-    EXPECT_TRUE(call(1, now + 100, false, {0, 0.1, 40}).admitted) << "under way";
+    EXPECT_TRUE(call(1, now + 100, false, {0, 0.1, 40}).admitted) << "active";
 }
 
-TEST_F(Ledger, AProgramThatFallsSilentGivesItsPartBack) {
-    uint64_t now = learn(50, 10);
+TEST_F(Ledger, AnIdleProgramReleasesItsCapacity) {
+    uint64_t now = record_programs(50, 10);
     while (call(now, now, false, {40, 0.1, 40}).admitted)
         now++;
-    EXPECT_GT(program_ledger_owed(ledger, now), 50);
-    EXPECT_LT(program_ledger_owed(ledger, now + 3000), 1);
+    EXPECT_GT(program_ledger_remaining_calls(ledger, now), 50);
+    EXPECT_LT(program_ledger_remaining_calls(ledger, now + 3000), 1);
     EXPECT_TRUE(call(1, now + 3000, false, {40, 0.1, 40}).admitted);
 }
 
-TEST_F(Ledger, AMemberWithoutMemoryBelievesThatAProgramHasBegun) {
-    uint64_t now = learn(50, 10);
+TEST_F(Ledger, AcceptsBegunProgramsAfterALossOfState) {
+    uint64_t now = record_programs(50, 10);
     while (call(now, now, false, {40, 0.1, 40}).admitted)
         now++;
     EXPECT_TRUE(call(5, now, true, {-40, 0.1, 40}).admitted);
-    EXPECT_TRUE(call(5, now + 200, false, {-40, 0.1, 40}).begun) << "and knows it from then on";
+    EXPECT_TRUE(call(5, now + 200, false, {-40, 0.1, 40}).begun) << "and is tracked from then on";
 }
 
-TEST_F(Ledger, ALoopWithoutEndIsAskedAgainAsIfItWereNew) {
-    uint64_t now = learn(50, 10);
+TEST_F(Ledger, AnEndlessProgramIsEvaluatedAsANewOne) {
+    uint64_t now = record_programs(50, 10);
     for (int i = 0; i < 60; i++, now += 200)
         EXPECT_TRUE(call(1, now, false, {-1, 0.1, 40}).admitted || i == 0);
     call(1, now, true, {-1, 0.1, 40});
@@ -158,39 +144,37 @@
     for (int i = 0; i < 40; i++, now += 200)
         refused = refused || !call(1, now, true, {-30, 0.1, 40}).admitted;
     EXPECT_TRUE(refused);
-    EXPECT_TRUE(call(1, now, true, {40, 0.1, 40}).admitted) << "it gets what others leave";
+    EXPECT_TRUE(call(1, now, true, {40, 0.1, 40}).admitted) << "it gets unused capacity";
 }
 
-TEST_F(Ledger, ARefusedProgramThatComesBackIsReadmitted) {
+TEST_F(Ledger, ARefusedProgramIsReadmittedLater) {
     EXPECT_FALSE(call(1, 10, false, {-5, 0.01, 40}).admitted);
-    EXPECT_FALSE(call(1, 20, false, {-5, 0.01, 40}).admitted) << "a refusal doesn't begin it";
+    EXPECT_FALSE(call(1, 20, false, {-5, 0.01, 40}).admitted) << "a refusal does not start it";
     program_admission_t later = call(1, 500, false, {5, 0.01, 40});
     EXPECT_TRUE(later.admitted);
     EXPECT_TRUE(later.readmitted);
 }
 
-TEST_F(Ledger, AProgramThatWasRefusedUntilItsTimeIsOverDoesntBegin) {
+TEST_F(Ledger, AProgramRefusedUntilItsDeadlineIsNotAdmitted) {
     EXPECT_FALSE(call(1, 10, false, {-5, 0.01, 40}).admitted);
     EXPECT_FALSE(call(2, 10, false, {-5, 0.01, 40}).admitted);
     EXPECT_TRUE(call(2, 500).admitted);
     late = true;
-    EXPECT_FALSE(call(1, 500).admitted) << "its caller gives it up before it ends";
-    EXPECT_TRUE(call(2, 600).admitted) << "under way";
-    EXPECT_TRUE(call(3, 600).admitted) << "what made it late is past";
-    EXPECT_TRUE(call(1, 600, true).admitted) << "its gateway knows better";
+    EXPECT_FALSE(call(1, 500).admitted) << "its caller would give up before it ends";
+    EXPECT_TRUE(call(2, 600).admitted) << "active";
+    EXPECT_TRUE(call(3, 600).admitted) << "a new program is not late";
+    EXPECT_TRUE(call(1, 600, true).admitted) << "its gateway reports that it has begun";
 }
 
-TEST_F(Ledger, RemembersSoManyProgramsAtMost) {
+TEST_F(Ledger, LimitsTheNumberOfTrackedPrograms) {
     for (uint64_t i = 1; i <= 20000; i++)
         EXPECT_TRUE(call(i, 10).admitted);
     EXPECT_EQ(program_ledger_size(ledger), 10000u);
-    program_ledger_owed(ledger, 60000);
-    program_ledger_owed(ledger, 120000);
+    program_ledger_remaining_calls(ledger, 60000);
+    program_ledger_remaining_calls(ledger, 120000);
     EXPECT_EQ(program_ledger_size(ledger), 0u);
 }
 
-// Homes.
-
 TEST(ProgramHome, MovesOnlyProgramsOfAMemberThatIsLost) {
     std::vector<quota_member_t> members(8);
     for (unsigned i = 0; i < 8; i++)
@@ -220,23 +204,22 @@
     EXPECT_EQ(program_home_count(&large, 8), 8u);
 }
 
-// A crowd.
-
 constexpr unsigned gateways = 6;
 constexpr uint64_t call_ms = 150;
 constexpr uint64_t pause_ms = 100;
-constexpr uint64_t patience_ms = 100;
-constexpr uint64_t begun_patience_ms = 1000;
+constexpr uint64_t token_timeout_ms = 100;
+constexpr uint64_t begun_token_timeout_ms = 1000;
 
 struct Answer {
     bool granted;
     uint64_t wait_ms;
 };
 
-/** Members of the store group and what gateways know of them. */
+/** Members of the store group and the gateways' view of them. */
 class Fleet {
   public:
-    Fleet(unsigned count, bool whole, unsigned seed) : whole_programs(whole), random(seed) {
+    Fleet(unsigned count, bool by_program, unsigned seed)
+        : admit_programs(by_program), random(seed) {
         members.resize(count);
         for (auto &member : members) {
             member = std::make_unique<Member>();
@@ -265,8 +248,8 @@
         for (unsigned i = 0; i < count; i++)
             known[i] = {members[i]->up, false, hash(tenant + std::to_string(i)), empty[i]};
         unsigned shares = quota_split_count(&bounds, &limit, count);
-        uint64_t patience = patience_ms;
-        if (whole_programs) {
+        uint64_t timeout_ms = token_timeout_ms;
+        if (admit_programs) {
             unsigned homes = program_home_count(&limit, shares);
             unsigned home = program_home_choose(known.data(), count, homes, program);
             program_call_t call = {program, 1, begun, false};
@@ -276,7 +259,7 @@
                                       tenant.c_str(), &limit, count, &call, now, &share);
             if (!admission.admitted)
                 return {false, spread(admission.wait_ms)};
-            patience = begun_patience_ms;
+            timeout_ms = begun_token_timeout_ms;
             if (take(home, tenant, limit, 0, now, &empty[home]).granted)
                 return {true, 0};
             known[home].asked = true;
@@ -285,7 +268,7 @@
         for (;;) {
             quota_decision_t decision = quota_choose(known.data(), count, shares, now, random());
             if (decision.step != QUOTA_ASK)
-                return wait(decision, tenant, limit, patience, now);
+                return wait(decision, tenant, limit, timeout_ms, now);
             if (take(decision.member, tenant, limit, 0, now, &empty[decision.member]).granted)
                 return {true, 0};
             known[decision.member].asked = true;
@@ -303,23 +286,23 @@
         return wait_ms + random() % std::clamp<uint64_t>(wait_ms, 100, 1000);
     }
     quota_answer_t take(unsigned member, const std::string &tenant, const quota_limit_t &limit,
-                        uint32_t patience, uint64_t now, uint64_t *empty) {
+                        uint32_t timeout_ms, uint64_t now, uint64_t *empty) {
         quota_answer_t answer = quota_table_take(&members[member]->quotas, tenant.c_str(), &limit,
-                                                 (unsigned)members.size(), patience, now);
+                                                 (unsigned)members.size(), timeout_ms, now);
         if (!answer.granted)
             *empty = now + answer.wait_ms;
         return answer;
     }
     Answer wait(const quota_decision_t &decision, const std::string &tenant,
-                const quota_limit_t &limit, uint64_t patience, uint64_t now) {
+                const quota_limit_t &limit, uint64_t timeout_ms, uint64_t now) {
         uint64_t ignored;
-        if (decision.step != QUOTA_REFUSE || decision.wait_ms > patience)
+        if (decision.step != QUOTA_REFUSE || decision.wait_ms > timeout_ms)
             return {false, spread(decision.wait_ms)};
         quota_answer_t answer =
-            take(decision.member, tenant, limit, (uint32_t)patience, now, &ignored);
+            take(decision.member, tenant, limit, (uint32_t)timeout_ms, now, &ignored);
         return {answer.granted, answer.granted ? answer.wait_ms : spread(answer.wait_ms)};
     }
-    bool whole_programs;
+    bool admit_programs;
     std::mt19937 random;
     std::vector<std::unique_ptr<Member>> members;
     std::map<std::pair<std::string, uint64_t>, std::vector<uint64_t>> empty_until;
@@ -328,18 +311,18 @@
 struct Tenant {
     std::string name;
     quota_limit_t limit;
-    double usual;       /**< Of its limit that it asks for, */
-    double crowd;       /**< and from 10 s to 17 s. */
-    bool loops = false; /**< A tenth of its programs goes on without end. */
+    double baseline;    /**< Demand as a multiple of the limit. */
+    double burst;       /**< The same from 10 s to 17 s. */
+    bool loops = false; /**< A tenth of its programs is endless. */
 };
 
 struct Outcome {
     int begun = 0;
-    int in_aim = 0;
+    int on_time = 0;
     int finished = 0;
-    int refused_first = 0; /**< Never let in. */
-    int cut = 0;           /**< Refused after an answer, for good. */
-    int wasted = 0;        /**< Calls that ran for programs that were cut. */
+    int refused_first = 0; /**< Never admitted. */
+    int interrupted = 0;   /**< Given up after some of their calls have run. */
+    int wasted = 0;        /**< Calls that ran for programs that were given up. */
     int calls = 0;
     std::vector<uint64_t> used;
     int in_span(uint64_t from, uint64_t until) const {
@@ -360,17 +343,17 @@
     }
 };
 
-/** Plays programs of about 4 and 9 turns, each turn with up to two tool calls behind it. */
-class Crowd {
+/** Simulates programs of about 4 and 9 turns, each turn followed by up to two tool calls. */
+class Workload {
   public:
-    Crowd(Fleet &fleet, std::vector<Tenant> tenants, unsigned seed)
+    Workload(Fleet &fleet, std::vector<Tenant> tenants, unsigned seed)
         : fleet(fleet), tenants(std::move(tenants)), random(seed) {
         outcomes.resize(this->tenants.size());
     }
     void at(uint64_t time, std::function<void()> what) {
         events.emplace(time, std::move(what));
     }
-    void play(uint64_t until) {
+    void simulate(uint64_t until) {
         for (size_t i = 0; i < tenants.size(); i++)
             arrive(i, until);
         while (!events.empty() && events.begin()->first < until + 60000) {
@@ -380,8 +363,8 @@
             what();
         }
     }
-    /** Programs that are under way fall silent. */
-    void kill_part(unsigned one_in) {
+    /** A random part of the active programs stops. */
+    void stop_programs(unsigned one_in) {
         for (auto &program : live)
             if (auto alive = program.lock(); alive && random() % one_in == 0)
                 alive->killed = true;
@@ -401,7 +384,7 @@
     static constexpr double mean_calls = 13;
     void arrive(size_t i, uint64_t until) {
         const Tenant &tenant = tenants[i];
-        double times = now >= 10000 && now < 17000 ? tenant.crowd : tenant.usual;
+        double times = now >= 10000 && now < 17000 ? tenant.burst : tenant.baseline;
         double per_ms = tenant.limit.rate / 1000.0 * times / mean_calls;
         uint64_t next = now + (uint64_t)std::exponential_distribution<>(per_ms)(random);
         if (now > 0)
@@ -446,9 +429,9 @@
         }
         uint64_t idle = program->calls * call_ms + (program->calls - 1) * pause_ms;
         outcome.finished++;
-        outcome.in_aim += now - program->begun_at <= idle * 3 / 2 + 250;
+        outcome.on_time += now - program->begun_at <= idle * 3 / 2 + 250;
     }
-    /** Each call is tried three times. */
+    /** Each call has three attempts. */
     void refused(const std::shared_ptr<Program> &program, uint64_t wait_ms) {
         Outcome &outcome = outcomes[program->tenant];
         if (++program->tries < 3) {
@@ -456,7 +439,7 @@
             return;
         }
         outcome.refused_first += program->made == 0;
-        outcome.cut += program->made > 0;
+        outcome.interrupted += program->made > 0;
         outcome.wasted += (int)program->made;
     }
     Fleet &fleet;
@@ -468,49 +451,49 @@
     uint64_t ids = 0;
 };
 
-void report(const char *what, bool whole, const Outcome &outcome, const Tenant &tenant) {
+void report(const char *what, bool by_program, const Outcome &outcome, const Tenant &tenant) {
     printf(
         "%-28s %-7s begun %d in aim %d finished %d refused first %d cut %d wasted %d of %d calls; "
         "share of the limit used 11..17 s %.2f; fullest window %.2f\n",
-        what, whole ? "whole" : "by call", outcome.begun, outcome.in_aim, outcome.finished,
-        outcome.refused_first, outcome.cut, outcome.wasted, outcome.calls,
+        what, by_program ? "whole" : "by call", outcome.begun, outcome.on_time, outcome.finished,
+        outcome.refused_first, outcome.interrupted, outcome.wasted, outcome.calls,
         outcome.in_span(11000, 17000) / (6.0 * tenant.limit.rate),
         outcome.fullest() / allowed(tenant.limit));
 }
 
-using Trouble = std::function<void(Crowd &, Fleet &)>;
+using FaultInjection = std::function<void(Workload &, Fleet &)>;
 
-std::vector<Outcome> play(const char *what, bool whole, unsigned members,
-                          const std::vector<Tenant> &tenants, const Trouble &trouble = nullptr,
-                          unsigned seed = 1) {
-    Fleet fleet(members, whole, seed);
-    Crowd crowd(fleet, tenants, seed);
-    if (trouble)
-        trouble(crowd, fleet);
-    crowd.play(27000);
+std::vector<Outcome> simulate(const char *what, bool by_program, unsigned members,
+                              const std::vector<Tenant> &tenants,
+                              const FaultInjection &inject_faults = nullptr, unsigned seed = 1) {
+    Fleet fleet(members, by_program, seed);
+    Workload burst(fleet, tenants, seed);
+    if (inject_faults)
+        inject_faults(burst, fleet);
+    burst.simulate(27000);
     for (size_t i = 0; i < tenants.size(); i++) {
-        report(what, whole, crowd.outcomes[i], tenants[i]);
-        EXPECT_LE(crowd.outcomes[i].fullest(), allowed(tenants[i].limit)) << what;
+        report(what, by_program, burst.outcomes[i], tenants[i]);
+        EXPECT_LE(burst.outcomes[i].fullest(), allowed(tenants[i].limit)) << what;
     }
-    return crowd.outcomes;
+    return burst.outcomes;
 }
 
 const Tenant hot = {"hot", {1, 400, 400}, 0.6, 6};
 
-/** Plays the same by call and whole, over three seeds. */
+/** Sums over three seeds, with admission per call and per program. */
 struct Pair {
     Outcome by_call;
-    Outcome whole;
-    double used = 0; /**< Share of the limit from 11 s to 17 s, whole, at its least. */
+    Outcome by_program;
+    double used = 0; /**< Minimum share of the limit used from 11 s to 17 s, per program. */
     double used_by_call = 0;
 };
 
 void add(Outcome &sum, const Outcome &outcome) {
     sum.begun += outcome.begun;
-    sum.in_aim += outcome.in_aim;
+    sum.on_time += outcome.on_time;
     sum.finished += outcome.finished;
     sum.refused_first += outcome.refused_first;
-    sum.cut += outcome.cut;
+    sum.interrupted += outcome.interrupted;
     sum.wasted += outcome.wasted;
     sum.calls += outcome.calls;
 }
@@ -519,16 +502,18 @@
     return outcome.in_span(11000, 17000) / (6.0 * tenant.limit.rate);
 }
 
-std::vector<Pair> play_both(const char *what, unsigned members, const std::vector<Tenant> &tenants,
-                            const Trouble &trouble = nullptr) {
+std::vector<Pair> simulate_both(const char *what, unsigned members,
+                                const std::vector<Tenant> &tenants,
+                                const FaultInjection &inject_faults = nullptr) {
     std::vector<Pair> pairs(tenants.size());
     for (unsigned seed = 1; seed <= 3; seed++) {
-        std::vector<Outcome> by_call = play(what, false, members, tenants, trouble, seed);
-        std::vector<Outcome> whole = play(what, true, members, tenants, trouble, seed);
+        std::vector<Outcome> by_call = simulate(what, false, members, tenants, inject_faults, seed);
+        std::vector<Outcome> by_program =
+            simulate(what, true, members, tenants, inject_faults, seed);
         for (size_t i = 0; i < tenants.size(); i++) {
             add(pairs[i].by_call, by_call[i]);
-            add(pairs[i].whole, whole[i]);
-            double used = share_used(whole[i], tenants[i]);
+            add(pairs[i].by_program, by_program[i]);
+            double used = share_used(by_program[i], tenants[i]);
             pairs[i].used = seed == 1 ? used : std::min(pairs[i].used, used);
             pairs[i].used_by_call += share_used(by_call[i], tenants[i]) / 3;
         }
@@ -536,86 +521,88 @@
     return pairs;
 }
 
-/** What callers of a tenant far over its limit get: whole programs, and no fewer than before. */
-void expect_whole(const Pair &pair, double more) {
-    EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim * more);
-    EXPECT_LE(pair.whole.cut, pair.whole.begun / 100) << "hardly a program ends in the middle";
-    EXPECT_GT(pair.by_call.cut, pair.by_call.begun / 5) << "the load is one that cuts programs";
-    EXPECT_LE(pair.whole.wasted, pair.whole.calls / 50);
+/** Expects that admitted programs complete, and no fewer than with admission per call. */
+void expect_complete_programs(const Pair &pair, double more) {
+    EXPECT_GE(pair.by_program.on_time, pair.by_call.on_time * more);
+    EXPECT_LE(pair.by_program.interrupted, pair.by_program.begun / 100)
+        << "admitted programs must complete";
+    EXPECT_GT(pair.by_call.interrupted, pair.by_call.begun / 5)
+        << "the load must interrupt programs";
+    EXPECT_LE(pair.by_program.wasted, pair.by_program.calls / 50);
 }
 
-TEST(Crowd, AtSixTimesItsLimitATenantsProgramsRunWholeOrNotAtAll) {
+TEST(Workload, AtSixTimesTheLimitAdmittedProgramsComplete) {
     for (unsigned members : {5u, 8u}) {
-        Pair pair = play_both("6 x", members, {hot})[0];
-        expect_whole(pair, 1.2);
+        Pair pair = simulate_both("6 x", members, {hot})[0];
+        expect_complete_programs(pair, 1.2);
         EXPECT_GE(pair.used, 0.98) << "the limit is used";
     }
 }
 
-TEST(Crowd, ALargeTenantIsServedAlike) {
-    Pair pair = play_both("6 x of 2000 a s", 8, {{"hot", {1, 2000, 2000}, 0.6, 6}})[0];
-    expect_whole(pair, 1.2);
+TEST(Workload, ALargeTenantIsServedAlike) {
+    Pair pair = simulate_both("6 x of 2000 a s", 8, {{"hot", {1, 2000, 2000}, 0.6, 6}})[0];
+    expect_complete_programs(pair, 1.2);
     EXPECT_GE(pair.used, 0.98);
 }
 
-TEST(Crowd, ASmallTenantsProgramsAreCutLessOften) {
-    Pair pair = play_both("6 x of 30 a s", 8, {{"hot", {1, 30, 30}, 0.6, 6}})[0];
-    EXPECT_GE(pair.whole.finished, pair.by_call.finished);
-    EXPECT_LE(pair.whole.cut, pair.by_call.cut / 10);
+TEST(Workload, ASmallTenantsProgramsAreInterruptedLessOften) {
+    Pair pair = simulate_both("6 x of 30 a s", 8, {{"hot", {1, 30, 30}, 0.6, 6}})[0];
+    EXPECT_GE(pair.by_program.finished, pair.by_call.finished);
+    EXPECT_LE(pair.by_program.interrupted, pair.by_call.interrupted / 10);
 }
 
-TEST(Crowd, WithinItsLimitNobodyIsRefused) {
+TEST(Workload, NoCallIsRefusedWithinTheLimit) {
     for (uint32_t rate : {3u, 8u, 30u, 100u, 400u}) {
-        Pair pair = play_both("0.6 x", 8, {{"calm", {1, rate, rate}, 0.6, 0.6}})[0];
-        EXPECT_EQ(pair.whole.refused_first, 0) << rate;
-        EXPECT_EQ(pair.whole.cut, 0) << rate;
-        EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim) << rate;
+        Pair pair = simulate_both("0.6 x", 8, {{"calm", {1, rate, rate}, 0.6, 0.6}})[0];
+        EXPECT_EQ(pair.by_program.refused_first, 0) << rate;
+        EXPECT_EQ(pair.by_program.interrupted, 0) << rate;
+        EXPECT_GE(pair.by_program.on_time, pair.by_call.on_time) << rate;
     }
 }
 
-TEST(Crowd, AMemberIsLostHalfway) {
-    Pair pair = play_both("member lost", 8, {hot}, [](Crowd &crowd, Fleet &fleet) {
-        crowd.at(13000, [&fleet] { fleet.set_up(2, false); });
+TEST(Workload, AMemberIsLostHalfway) {
+    Pair pair = simulate_both("member lost", 8, {hot}, [](Workload &burst, Fleet &fleet) {
+        burst.at(13000, [&fleet] { fleet.set_up(2, false); });
     })[0];
-    expect_whole(pair, 1);
+    expect_complete_programs(pair, 1);
     EXPECT_GE(pair.used, pair.used_by_call * 0.85);
 }
 
-TEST(Crowd, AllMembersRestartAndForget) {
-    Pair pair = play_both("members restart", 8, {hot}, [](Crowd &crowd, Fleet &fleet) {
+TEST(Workload, AllMembersRestartAndForget) {
+    Pair pair = simulate_both("members restart", 8, {hot}, [](Workload &burst, Fleet &fleet) {
         for (unsigned i = 0; i < 8; i++) {
-            crowd.at(13000 + i * 300, [&fleet, i] { fleet.set_up(i, false); });
-            crowd.at(13600 + i * 300, [&fleet, i] { fleet.set_up(i, true); });
+            burst.at(13000 + i * 300, [&fleet, i] { fleet.set_up(i, false); });
+            burst.at(13600 + i * 300, [&fleet, i] { fleet.set_up(i, true); });
         }
     })[0];
-    EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim);
-    EXPECT_LE(pair.whole.cut, pair.by_call.cut / 4);
+    EXPECT_GE(pair.by_program.on_time, pair.by_call.on_time);
+    EXPECT_LE(pair.by_program.interrupted, pair.by_call.interrupted / 4);
 }
 
-TEST(Crowd, AGatewayIsKilledAndItsProgramsGiveTheirPartBack) {
-    Pair pair = play_both("gateway killed", 8, {hot}, [](Crowd &crowd, Fleet &fleet) {
+TEST(Workload, ProgramsOfAKilledGatewayReleaseTheirCapacity) {
+    Pair pair = simulate_both("gateway killed", 8, {hot}, [](Workload &burst, Fleet &fleet) {
         (void)fleet;
-        crowd.at(13000, [&crowd] { crowd.kill_part(3); });
+        burst.at(13000, [&burst] { burst.stop_programs(3); });
     })[0];
-    expect_whole(pair, 1.1);
+    expect_complete_programs(pair, 1.1);
     EXPECT_GE(pair.used, 0.95);
 }
 
-TEST(Crowd, TwoTenantsOverTheirLimitsDontCostEachOther) {
+TEST(Workload, TenantsOverTheirLimitsDoNotAffectEachOther) {
     const Tenant other = {"other", {1, 200, 200}, 0.6, 3};
-    std::vector<Pair> both = play_both("two", 8, {hot, other});
-    Pair alone = play_both("one", 8, {hot})[0];
-    expect_whole(both[0], 1.2);
-    EXPECT_LE(both[1].whole.cut, both[1].whole.begun / 100);
-    EXPECT_GE(both[1].whole.in_aim, both[1].by_call.in_aim);
-    EXPECT_GE(both[0].whole.in_aim, alone.whole.in_aim * 0.95);
+    std::vector<Pair> both = simulate_both("two", 8, {hot, other});
+    Pair alone = simulate_both("one", 8, {hot})[0];
+    expect_complete_programs(both[0], 1.2);
+    EXPECT_LE(both[1].by_program.interrupted, both[1].by_program.begun / 100);
+    EXPECT_GE(both[1].by_program.on_time, both[1].by_call.on_time);
+    EXPECT_GE(both[0].by_program.on_time, alone.by_program.on_time * 0.95);
 }
 
-TEST(Crowd, LoopsWithoutEndGetWhatOthersLeave) {
+TEST(Workload, EndlessProgramsGetUnusedCapacity) {
     Tenant looping = {"hot", {1, 400, 400}, 0.6, 6, true};
-    Pair pair = play_both("loops", 8, {looping})[0];
-    EXPECT_GE(pair.whole.in_aim, pair.by_call.in_aim);
-    EXPECT_LE(pair.whole.cut, pair.whole.begun / 100);
+    Pair pair = simulate_both("loops", 8, {looping})[0];
+    EXPECT_GE(pair.by_program.on_time, pair.by_call.on_time);
+    EXPECT_LE(pair.by_program.interrupted, pair.by_program.begun / 100);
 }
 
 } // namespace
