--- a/src/core/routing/backend.c
+++ b/src/core/routing/backend.c
@@ -3,13 +3,13 @@
 #include <string.h>
 
 enum {
-    EJECT_AFTER_FAILURES = 2,
-    EJECT_BASE_MS = 500,
-    EJECT_MAXIMUM_MS = 10000,
+    EJECTION_FAILURE_THRESHOLD = 2,
+    EJECTION_BASE_MS = 500,
+    EJECTION_MAX_MS = 10000,
 };
 
 struct backend_set {
-    GPtrArray *backends; /**< Of backend_t, by name. */
+    GPtrArray *backends; /**< Of backend_t, ordered by name. */
 };
 
 backend_record_t *backend_record_copy(const backend_record_t *record) {
@@ -109,15 +109,15 @@
     remove_unlisted(set, records, on_change, context);
     for (guint i = 0; i < records->len; i++) {
         const backend_record_t *record = g_ptr_array_index(records, i);
-        backend_t *known = backend_set_find(set, record->name);
-        if (known == NULL) {
+        backend_t *existing = backend_set_find(set, record->name);
+        if (existing == NULL) {
             add_backend(set, record, on_change, context);
             continue;
         }
-        if (!record->leaving || known->leaving_announced)
+        if (!record->leaving || existing->leaving_announced)
             continue;
-        known->leaving_announced = true;
-        on_change(context, known, false);
+        existing->leaving_announced = true;
+        on_change(context, existing, false);
     }
     g_ptr_array_sort(set->backends, compare_names);
 }
@@ -140,10 +140,10 @@
 
 void backend_unreachable(backend_t *backend, int64_t now_ms) {
     backend->failures++;
-    if (backend->failures < EJECT_AFTER_FAILURES)
+    if (backend->failures < EJECTION_FAILURE_THRESHOLD)
         return;
-    unsigned doublings = MIN(backend->failures - EJECT_AFTER_FAILURES, 10U);
-    backend->ejected_until_ms = now_ms + MIN(EJECT_BASE_MS << doublings, EJECT_MAXIMUM_MS);
+    unsigned doublings = MIN(backend->failures - EJECTION_FAILURE_THRESHOLD, 10U);
+    backend->ejected_until_ms = now_ms + MIN(EJECTION_BASE_MS << doublings, EJECTION_MAX_MS);
 }
 
 void backend_call_finished(backend_t *backend, bool reachable, int64_t now_ms) {
--- a/src/core/routing/backend_speed.c
+++ b/src/core/routing/backend_speed.c
@@ -7,19 +7,18 @@
 enum {
     PERCENT = 100,
     THOUSAND = 1000,
-    WEIGHT_MOST = 8,      /**< Of one gateway: many samples don't make its measure a better one. */
-    WEIGHT_NEEDED = 4,    /**< Fewer samples of a back end don't count. */
-    BACK_ENDS_NEEDED = 3, /**< A service's typical speed is unknown with fewer. */
-    TIMES_NEEDED = 5,
-    LOADS_APART = 2,      /**< Nearer loads tell little of what a call more costs. */
-    SQUARES_NEEDED = 400, /**< Some 50 pairs; with fewer, chance looks like a slope. */
+    MAX_WEIGHT = 8,   /**< Limits the effect of a single gateway's systematic error. */
+    MIN_SAMPLES = 4,  /**< Of a back end, for its estimate to be used. */
+    MIN_BACKENDS = 3, /**< Of a service, for its typical speed to be known. */
+    MIN_VALUES = 5,
+    MIN_LOAD_DIFFERENCE = 2, /**< Pairs with closer loads are ignored as noise. */
+    MIN_SQUARES = 400,       /**< With fewer pairs, noise can look like a slope. */
 };
-static const double PAIRS_KEPT = 1 - 1.0 / 512; /**< Of what was noted before, at each pair. */
-static const double SLOPE_MOST = 0.5;
-static const double UNKNOWN_DEVIATION =
-    0.6; /**< Of the times of a service of which few are known. */
-static const double MEDIAN_ERROR = 1.44;
-static const double CHANCE_DEVIATIONS = 3.5; /**< Five in ten thousand. */
+static const double PAIR_DECAY = 1 - 1.0 / 512; /**< Applied to the sums at each new pair. */
+static const double MAX_SLOPE = 0.5;
+static const double DEFAULT_DEVIATION = 0.6; /**< Relative, while too few samples are known. */
+static const double MEDIAN_ERROR_FACTOR = 1.44;
+static const double SIGNIFICANT_DEVIATIONS = 3.5;
 
 static void swap(uint32_t *a, uint32_t *b) {
     uint32_t kept = *a;
@@ -27,7 +26,7 @@
     *b = kept;
 }
 
-/** Insertion sort: the lists are short, and kept ones nearly sorted. */
+/** Insertion sort, for short arrays only. */
 static void sort(uint32_t *values, unsigned count) {
     for (unsigned i = 1; i < count; i++)
         for (unsigned j = i; j > 0 && values[j - 1] > values[j]; j--)
@@ -39,7 +38,7 @@
     return count == 0 ? 0 : values[(count - 1) / 2];
 }
 
-static unsigned least(unsigned a, unsigned b) {
+static unsigned min_unsigned(unsigned a, unsigned b) {
     return a < b ? a : b;
 }
 
@@ -51,40 +50,41 @@
 
 backend_pace_t backend_samples_pace(const backend_samples_t *samples) {
     uint32_t sorted[BACKEND_SAMPLES];
-    unsigned count = least(samples->noted, BACKEND_SAMPLES);
+    unsigned count = min_unsigned(samples->noted, BACKEND_SAMPLES);
     memcpy(sorted, samples->recent, sizeof sorted);
     return (backend_pace_t){median(sorted, count), count, samples->at};
 }
 
-void recent_times_note(recent_times_t *times, uint32_t value) {
-    times->recent[times->noted % RECENT_TIMES] = value;
-    times->noted++;
+void recent_times_note(recent_times_t *window, uint32_t value) {
+    window->recent[window->noted % RECENT_TIMES] = value;
+    window->noted++;
 }
 
-uint32_t recent_times_median(const recent_times_t *times) {
+uint32_t recent_times_median(const recent_times_t *window) {
     uint32_t sorted[RECENT_TIMES];
-    unsigned count = least(times->noted, RECENT_TIMES);
-    memcpy(sorted, times->recent, sizeof sorted);
-    return count < TIMES_NEEDED ? 0 : median(sorted, count);
+    unsigned count = min_unsigned(window->noted, RECENT_TIMES);
+    memcpy(sorted, window->recent, sizeof sorted);
+    return count < MIN_VALUES ? 0 : median(sorted, count);
 }
 
 void work_slowdown_note(work_slowdown_t *slowdown, uint32_t work_us, unsigned load,
                         uint32_t earlier_us, unsigned earlier_load) {
-    unsigned apart = load > earlier_load ? load - earlier_load : earlier_load - load;
-    if (apart < LOADS_APART)
+    unsigned difference = load > earlier_load ? load - earlier_load : earlier_load - load;
+    if (difference < MIN_LOAD_DIFFERENCE)
         return;
-    double more = (double)load - earlier_load;
-    double slower = 2 * ((double)work_us - earlier_us) / ((double)work_us + earlier_us);
-    slowdown->products = slowdown->products * PAIRS_KEPT + slower * more;
-    slowdown->squares = slowdown->squares * PAIRS_KEPT + more * more;
+    double load_difference = (double)load - earlier_load;
+    double relative_difference =
+        2 * ((double)work_us - earlier_us) / ((double)work_us + earlier_us);
+    slowdown->products = slowdown->products * PAIR_DECAY + relative_difference * load_difference;
+    slowdown->squares = slowdown->squares * PAIR_DECAY + load_difference * load_difference;
 }
 
-/** Share by which a call more slows all; 0 while too little is known. */
+/** Relative slowdown per concurrent call; 0 while there are too few pairs. */
 static double slope(const work_slowdown_t *slowdown) {
-    if (slowdown->squares < SQUARES_NEEDED || slowdown->products < 0)
+    if (slowdown->squares < MIN_SQUARES || slowdown->products < 0)
         return 0;
     double share = slowdown->products / slowdown->squares;
-    return share > SLOPE_MOST ? SLOPE_MOST : share;
+    return share > MAX_SLOPE ? MAX_SLOPE : share;
 }
 
 uint32_t work_slowdown_remove(const work_slowdown_t *slowdown, uint32_t work_us, unsigned load) {
@@ -92,81 +92,81 @@
 }
 
 void work_spread_note(recent_times_t *spread, uint32_t work_us, uint32_t earlier_us) {
-    uint32_t apart = work_us > earlier_us ? work_us - earlier_us : earlier_us - work_us;
+    uint32_t difference = work_us > earlier_us ? work_us - earlier_us : earlier_us - work_us;
     uint64_t sum = (uint64_t)work_us + earlier_us;
     if (sum > 0)
-        recent_times_note(spread, (uint32_t)(2 * (uint64_t)apart * THOUSAND / sum));
+        recent_times_note(spread, (uint32_t)(2 * (uint64_t)difference * THOUSAND / sum));
 }
 
-unsigned backend_pace_weight(const backend_pace_t *pace, uint64_t now) {
-    uint64_t age = now > pace->at ? now - pace->at : 0;
-    if (age >= PACE_FORGET_MS || pace->work_us == 0)
+unsigned backend_pace_weight(const backend_pace_t *estimate, uint64_t now) {
+    uint64_t age = now > estimate->at ? now - estimate->at : 0;
+    if (age >= PACE_FORGET_MS || estimate->work_us == 0)
         return 0;
-    return least(pace->samples, WEIGHT_MOST) >> (age / PACE_HALF_LIFE_MS);
+    return min_unsigned(estimate->samples, MAX_WEIGHT) >> (age / PACE_HALF_LIFE_MS);
 }
 
-backend_pace_t backend_pace_join(const backend_pace_t *paces, unsigned count, uint64_t now) {
+backend_pace_t backend_pace_join(const backend_pace_t *estimates, unsigned count, uint64_t now) {
     const backend_pace_t *sorted[BACKEND_TELLERS_MOST + 1];
-    backend_pace_t joined = {0};
-    unsigned kept = 0;
-    for (unsigned i = 0; i < count && kept <= BACKEND_TELLERS_MOST; i++) {
-        unsigned weight = backend_pace_weight(&paces[i], now);
+    backend_pace_t merged = {0};
+    unsigned used = 0;
+    for (unsigned i = 0; i < count && used <= BACKEND_TELLERS_MOST; i++) {
+        unsigned weight = backend_pace_weight(&estimates[i], now);
         if (weight == 0)
             continue;
-        unsigned place = kept++;
-        for (; place > 0 && sorted[place - 1]->work_us > paces[i].work_us; place--)
-            sorted[place] = sorted[place - 1];
-        sorted[place] = &paces[i];
-        joined.samples += weight;
-        joined.at = paces[i].at > joined.at ? paces[i].at : joined.at;
+        unsigned position = used++;
+        for (; position > 0 && sorted[position - 1]->work_us > estimates[i].work_us; position--)
+            sorted[position] = sorted[position - 1];
+        sorted[position] = &estimates[i];
+        merged.samples += weight;
+        merged.at = estimates[i].at > merged.at ? estimates[i].at : merged.at;
     }
     unsigned below = 0;
-    for (unsigned i = 0; i < kept && 2 * below < joined.samples; i++) {
-        joined.work_us = sorted[i]->work_us;
+    for (unsigned i = 0; i < used && 2 * below < merged.samples; i++) {
+        merged.work_us = sorted[i]->work_us;
         below += backend_pace_weight(sorted[i], now);
     }
-    return joined;
+    return merged;
 }
 
-bool backend_pace_known(const backend_pace_t *pace, uint64_t now) {
-    bool late = now >= pace->at + PACE_FORGET_MS;
-    return !late && pace->work_us > 0 && pace->samples >= WEIGHT_NEEDED;
+bool backend_pace_known(const backend_pace_t *estimate, uint64_t now) {
+    bool expired = now >= estimate->at + PACE_FORGET_MS;
+    return !expired && estimate->work_us > 0 && estimate->samples >= MIN_SAMPLES;
 }
 
-static int compare(const void *a, const void *b) {
+static int compare_uint32(const void *a, const void *b) {
     uint32_t first = *(const uint32_t *)a;
     uint32_t second = *(const uint32_t *)b;
     return (first > second) - (first < second);
 }
 
 uint32_t backend_speed_typical_us(uint32_t *works_us, unsigned count) {
-    if (count < BACK_ENDS_NEEDED)
+    if (count < MIN_BACKENDS)
         return 0;
-    qsort(works_us, count, sizeof *works_us, compare);
+    qsort(works_us, count, sizeof *works_us, compare_uint32);
     return works_us[(count - 1) / 2];
 }
 
 /**
- * How many times the typical time chance may make of that of a typical back end. The median of so
- * many samples is off by 1.44 times their median over the root of their number if times are spread
- * exponentially; two normal samples differ by 0.95 of a deviation as often as by more.
+ * Ratio to the typical time from which a difference is statistically significant. The standard
+ * error of the median of n exponentially distributed samples is 1.44 times their median over
+ * sqrt(n). The median difference of two normally distributed samples is 0.95 standard deviations.
  */
-static double chance(const backend_pace_t *pace, const recent_times_t *spread) {
-    uint32_t apart = recent_times_median(spread);
-    double deviation = spread->noted < TIMES_NEEDED ? UNKNOWN_DEVIATION : apart / 950.0;
-    return 1 + CHANCE_DEVIATIONS * MEDIAN_ERROR * deviation / sqrt(pace->samples);
+static double significance_ratio(const backend_pace_t *estimate, const recent_times_t *spread) {
+    uint32_t difference = recent_times_median(spread);
+    double deviation = spread->noted < MIN_VALUES ? DEFAULT_DEVIATION : difference / 950.0;
+    return 1 + SIGNIFICANT_DEVIATIONS * MEDIAN_ERROR_FACTOR * deviation / sqrt(estimate->samples);
 }
 
-unsigned backend_speed_percent(const backend_pace_t *pace, uint32_t typical_us,
+unsigned backend_speed_percent(const backend_pace_t *estimate, uint32_t typical_us,
                                const recent_times_t *spread, uint64_t now) {
-    if (typical_us == 0 || !backend_pace_known(pace, now))
+    if (typical_us == 0 || !backend_pace_known(estimate, now))
         return BACKEND_SPEED_TYPICAL_PERCENT;
-    double times = (double)pace->work_us / typical_us;
-    double usual = chance(pace, spread);
-    if (times < usual && times > 1 / usual)
+    double ratio = (double)estimate->work_us / typical_us;
+    double threshold = significance_ratio(estimate, spread);
+    if (ratio < threshold && ratio > 1 / threshold)
         return BACKEND_SPEED_TYPICAL_PERCENT;
-    uint64_t percent = (uint64_t)typical_us * PERCENT / pace->work_us;
-    if (percent < BACKEND_SPEED_LEAST_PERCENT)
-        return BACKEND_SPEED_LEAST_PERCENT;
-    return percent > BACKEND_SPEED_MOST_PERCENT ? BACKEND_SPEED_MOST_PERCENT : (unsigned)percent;
+    uint64_t percent = (uint64_t)typical_us * PERCENT / estimate->work_us;
+    if (percent < BACKEND_SPEED_MIN_PERCENT)
+        return BACKEND_SPEED_MIN_PERCENT;
+    return percent > BACKEND_SPEED_MAX_PERCENT ? BACKEND_SPEED_MAX_PERCENT : (unsigned)percent;
 }
--- a/src/core/routing/backend_speed.h
+++ b/src/core/routing/backend_speed.h
@@ -1,14 +1,14 @@
 /**
  * @file backend_speed.h
- * How fast a back end is, against the typical one of its service.
+ * Speed of a back end relative to the typical back end of its service.
  *
- * Each gateway sees few calls of one back end, so gateways tell one another what they measured. The
- * measure is robust: one outlier or one hung back end moves neither a back end's speed nor what is
- * typical of its service. What was measured ages, and belongs to one life of the back end: one that
- * is new, or has started again, begins at the service's typical speed.
+ * A gateway sees only few calls of each back end, so gateways exchange their estimates and merge
+ * them by weighted median. Medians keep outliers and a hung back end from moving either a back
+ * end's speed or the typical speed of the service. Estimates lose weight with age and belong to one
+ * incarnation of the back end; a new incarnation starts at the typical speed.
  *
- * A back end that works on many calls at once is slower at each. How much is learned from pairs of
- * samples of one back end at different loads, and samples are compared as if it had no other call.
+ * Concurrent calls slow a back end down. The slowdown is estimated from pairs of samples of the
+ * same back end at different loads, and samples are normalized to a back end without other calls.
  *
  * Decision code: no I/O, clock or thread; objects belong to one thread. Times are in ms of the
  * caller's steady clock.
@@ -20,81 +20,84 @@
 #include <stdint.h>
 
 enum {
-    BACKEND_SPEED_TYPICAL_PERCENT = 100, /**< Also that of which nothing is known yet. */
-    BACKEND_SPEED_LEAST_PERCENT = 25,
-    BACKEND_SPEED_MOST_PERCENT = 400,
+    BACKEND_SPEED_TYPICAL_PERCENT = 100, /**< Also the speed of a back end without estimate. */
+    BACKEND_SPEED_MIN_PERCENT = 25,
+    BACKEND_SPEED_MAX_PERCENT = 400,
 };
 
 enum {
-    BACKEND_SAMPLES = 9,       /**< Kept of one back end: four outliers don't move the median. */
-    BACKEND_TELLERS_MOST = 16, /**< Gateways of which a back end's paces are kept. */
+    BACKEND_SAMPLES = 9,       /**< Kept for each back end; the median tolerates four outliers. */
+    BACKEND_TELLERS_MOST = 16, /**< Other gateways whose estimates of a back end are kept. */
     RECENT_TIMES = 31,
-    PACE_HALF_LIFE_MS = 15000, /**< A sample's weight halves in this time, */
-    PACE_FORGET_MS = 60000,    /**< and is nothing after this. */
+    PACE_HALF_LIFE_MS = 15000, /**< The weight of an estimate halves in this time. */
+    PACE_FORGET_MS = 60000,    /**< Older estimates are ignored. */
 };
 
-/** What one gateway has measured at one back end; what the others told comes in the same form. */
+/** A gateway's estimate of a back end's speed, as measured or as reported by another gateway. */
 typedef struct {
-    uint32_t work_us; /**< Typical time of a unit of work without other calls; 0: unknown. */
-    uint32_t samples; /**< How many it comes from. */
-    uint64_t at;      /**< Of the latest sample. */
+    uint32_t work_us; /**< Median time of a unit of work without concurrent calls; 0: unknown. */
+    uint32_t samples;
+    uint64_t at; /**< Time of the latest sample. */
 } backend_pace_t;
 
-/** The latest samples of one back end. */
+/** Ring buffer of the latest samples of one back end. */
 typedef struct {
     uint32_t recent[BACKEND_SAMPLES];
-    unsigned noted;
-    uint64_t at;
+    unsigned noted; /**< Samples added in total. */
+    uint64_t at;    /**< Time of the latest sample. */
 } backend_samples_t;
 
-/** Notes that a unit of work took @p work_us. */
+/** Adds a sample: a unit of work took @p work_us. */
 void backend_samples_note(backend_samples_t *samples, uint32_t work_us, uint64_t now);
-/** The median of the samples. */
 backend_pace_t backend_samples_pace(const backend_samples_t *samples);
 
-/** The latest values of anything, for their median. */
+/** Ring buffer of the latest values of a quantity. */
 typedef struct {
     uint32_t recent[RECENT_TIMES];
-    unsigned noted;
+    unsigned noted; /**< Values added in total. */
 } recent_times_t;
 
-void recent_times_note(recent_times_t *times, uint32_t value);
-/** 0 while there are too few to tell. */
-uint32_t recent_times_median(const recent_times_t *times);
+void recent_times_note(recent_times_t *window, uint32_t value);
+/** Median of the values; 0 while there are too few. */
+uint32_t recent_times_median(const recent_times_t *window);
 
 /**
- * By how much one more call slows all calls at a back end of a service: least squares over pairs of
- * samples, of how far the two times are apart against how far the loads are.
+ * Slowdown per concurrent call at the back ends of a service: a least-squares fit, over pairs of
+ * samples, of the relative difference in time against the difference in load.
  */
 typedef struct {
     double products;
     double squares;
 } work_slowdown_t;
 
-/** Work at one back end took @p work_us beside @p load calls, and @p earlier_us beside others. */
+/**
+ * Adds a pair of samples of one back end: @p work_us with @p load concurrent calls, and
+ * @p earlier_us with @p earlier_load.
+ */
 void work_slowdown_note(work_slowdown_t *slowdown, uint32_t work_us, unsigned load,
                         uint32_t earlier_us, unsigned earlier_load);
-/** What work that took @p work_us beside @p load other calls takes without. */
+/** Normalizes @p work_us, measured with @p load concurrent calls, to a load of 0. */
 uint32_t work_slowdown_remove(const work_slowdown_t *slowdown, uint32_t work_us, unsigned load);
 
-/** Weight of @p pace now: its samples, less with age. */
-unsigned backend_pace_weight(const backend_pace_t *pace, uint64_t now);
-/** Joins what up to BACKEND_TELLERS_MOST + 1 gateways measured there: their weighted median. */
-backend_pace_t backend_pace_join(const backend_pace_t *paces, unsigned count, uint64_t now);
-/** True if @p pace comes from enough samples to count. */
-bool backend_pace_known(const backend_pace_t *pace, uint64_t now);
+/** Weight of an estimate: the number of its samples, up to a limit, halved with age. */
+unsigned backend_pace_weight(const backend_pace_t *estimate, uint64_t now);
+/** Weighted median of the estimates of up to BACKEND_TELLERS_MOST + 1 gateways. */
+backend_pace_t backend_pace_join(const backend_pace_t *estimates, unsigned count, uint64_t now);
+/** True if the estimate is recent and has enough samples to be used. */
+bool backend_pace_known(const backend_pace_t *estimate, uint64_t now);
 /**
- * Notes how far a sample of a back end is from the one before, in thousandths of their mean: what
- * chance makes of the times of a service.
+ * Adds the difference of two consecutive samples of a back end to @p spread, in thousandths of
+ * their mean. The spread of a service is what its times vary by at one back end.
  */
 void work_spread_note(recent_times_t *spread, uint32_t work_us, uint32_t earlier_us);
-/** Median of the @p count known paces of a service, which are sorted; 0: too few to tell. */
+/** Median over @p works_us, which is sorted in place; 0 if @p count is too small. */
 uint32_t backend_speed_typical_us(uint32_t *works_us, unsigned count);
 /**
- * Speed of a back end of pace @p pace in percent of the typical one; BACKEND_SPEED_TYPICAL_PERCENT
- * if it is no farther from that than chance explains, as @p spread tells.
+ * Speed in percent of the typical one, clamped to [BACKEND_SPEED_MIN_PERCENT,
+ * BACKEND_SPEED_MAX_PERCENT]. BACKEND_SPEED_TYPICAL_PERCENT if the estimate can't be used, or if
+ * the difference is not significant given @p spread.
  */
-unsigned backend_speed_percent(const backend_pace_t *pace, uint32_t typical_us,
+unsigned backend_speed_percent(const backend_pace_t *estimate, uint32_t typical_us,
                                const recent_times_t *spread, uint64_t now);
 
 #endif
--- a/src/core/routing/ejection.h
+++ b/src/core/routing/ejection.h
@@ -1,14 +1,14 @@
 /**
  * @file ejection.h
- * Whether a back end is left out because it seems to be down.
+ * Ejection of a back end that is probably down.
  *
- * The sign is a *quick reset*: a request that was sent whole, and whose connection ended before the
- * back end can have worked on it. Such a call may not be sent again if it may run only once, so
- * each gateway that finds out by itself costs a call. Hence a gateway that saw one tells the
- * others, and a gateway that hears of it from two or more leaves the back end out as well; one
- * alone may have a bad link.
+ * A quick reset is a connection that closes after the whole request was sent, but before the back
+ * end can have processed it. A call that may run only once can't be retried after that, so every
+ * gateway that detects the failure by itself loses a call. Gateways therefore report ejections to
+ * each other: a back end is also ejected here if at least two other gateways report it. A single
+ * report may be due to a faulty link.
  *
- * A back end that goes down again soon after it came back stays out for longer each time.
+ * Ejections that follow one another closely get exponentially longer.
  *
  * Decision code; an object belongs to one thread. Times are in ms.
  */
@@ -18,28 +18,27 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** A connection that ends within this time of the send is a quick reset. */
+/** A connection that closes within this time of the send is a quick reset. */
 enum { QUICK_RESET_MS = 25 };
 
 typedef struct {
-    unsigned resets;     /**< Quick resets in a row, as seen here. */
-    uint64_t last_reset; /**< When the latest was seen. */
-    uint64_t out_until;  /**< Left out until then, by what was seen here. */
-    unsigned tellers;    /**< Other gateways that leave it out now. */
-    uint64_t told_until; /**< The latest time that they named. */
+    unsigned resets;        /**< Consecutive quick resets seen by this gateway. */
+    uint64_t last_reset;    /**< Time of the latest one. */
+    uint64_t ejected_until; /**< End of the ejection by this gateway. */
+    unsigned reporters;     /**< Other gateways that report it as ejected. */
+    uint64_t told_until;    /**< Latest end of the ejection among their reports. */
 } ejection_t;
 
-/** Notes a quick reset. */
 void ejection_note_reset(ejection_t *ejection, uint64_t now);
-/** For how long the others should hear that it is out, in ms; 0: not at all. */
+/** Remaining time of the ejection by this gateway, to report to the others; 0: not ejected. */
 uint32_t ejection_tell_ms(const ejection_t *ejection, uint64_t now);
-/** Forgets what the others told, before it is told anew. */
+/** Clears the reports of other gateways, before they are added again. */
 void ejection_forget_told(ejection_t *ejection);
-/** Another gateway leaves it out until @p until. */
+/** Adds the report of another gateway that ejects the back end until @p until. */
 void ejection_note_told(ejection_t *ejection, uint64_t until, uint64_t now);
-/** True if it is left out now by what the others told. */
+/** True if the back end is ejected because of other gateways' reports. */
 bool ejection_told_out(const ejection_t *ejection, uint64_t now);
-/** True if the back end is left out now. */
+/** True if the back end is ejected, by this gateway or by reports. */
 bool ejection_is_out(const ejection_t *ejection, uint64_t now);
 
 #endif
--- a/src/core/routing/engine_choice.c
+++ b/src/core/routing/engine_choice.c
@@ -5,46 +5,46 @@
 
 enum {
     PERCENT = 100,
-    LEAVE_PERCENT = 150,       /**< A program's engine may be left above so much of its slots, */
-    MOVE_PERCENT = 50,         /**< for one with at most so much. */
-    MEAN_EXCESS_PERCENT = 108, /**< A part's next engine is used above so much of the mean load. */
-    MEAN_EXCESS_CALLS = 1,     /**< Added to it: loads of a few calls differ by chance. */
-    AVOIDED_SHARE = 3,         /**< The sign is not trusted if more than one in so many show it. */
+    OVERLOAD_PERCENT = 150,  /**< Load in percent of the slots at which an engine is overloaded. */
+    TARGET_MAX_PERCENT = 50, /**< Maximum load of the engine that a program moves to. */
+    MEAN_EXCESS_PERCENT = 108, /**< Bound on an engine's load, in percent of the mean load. */
+    MEAN_EXCESS_CALLS = 1,     /**< Added to the bound, for random variation of low loads. */
+    AVOIDED_DIVISOR = 3,       /**< If more than 1/3 are avoided, the indication is unreliable. */
 };
 
-/** Which engines a search may use. */
+/** Candidates and criteria of a search. */
 typedef struct {
     const engine_candidate_t *candidates;
     unsigned count;
     uint64_t part;
     bool use_avoided;
-    bool near_only;
-    unsigned load_most_percent; /**< Of an engine's slots; 0: any. */
+    bool local_only;
+    unsigned max_load_percent; /**< In percent of the slots; 0: no limit. */
 } search_t;
 
-/** True if so many engines are avoided that the sign says nothing. */
-static bool sign_doubtful(const engine_candidate_t *candidates, unsigned count) {
+/** True if so many engines are avoided that the indication is unreliable. */
+static bool avoidance_unreliable(const engine_candidate_t *candidates, unsigned count) {
     unsigned avoided = 0;
     for (unsigned i = 0; i < count; i++)
         avoided += candidates[i].avoided;
-    return avoided * AVOIDED_SHARE > count;
+    return avoided * AVOIDED_DIVISOR > count;
 }
 
-static bool searched(const search_t *search, const engine_candidate_t *engine) {
+static bool eligible(const search_t *search, const engine_candidate_t *engine) {
     if (engine->avoided && !search->use_avoided)
         return false;
-    if (search->near_only && !engine->near)
+    if (search->local_only && !engine->near)
         return false;
-    return search->load_most_percent == 0 ||
-           engine->load * PERCENT <= engine->slots * search->load_most_percent;
+    return search->max_load_percent == 0 ||
+           engine->load * PERCENT <= engine->slots * search->max_load_percent;
 }
 
-/** Load above which the next engine in a part's ranking is taken. */
+/** Maximum load of an engine that can be chosen, slightly above the mean. */
 static unsigned load_bound(const search_t *search) {
     unsigned sum = 0;
     unsigned engines = 0;
     for (unsigned i = 0; i < search->count; i++) {
-        if (!searched(search, &search->candidates[i]))
+        if (!eligible(search, &search->candidates[i]))
             continue;
         sum += search->candidates[i].load;
         engines++;
@@ -58,14 +58,14 @@
     return XXH64(&engine->id, sizeof engine->id, part);
 }
 
-/** The first in the part's ranking that is not above the bound; the mean never is. */
+/** The highest-ranked eligible engine within the load bound, which is not below the mean load. */
 static bool search_engine(const search_t *search, unsigned *chosen) {
     unsigned bound = load_bound(search);
     uint64_t best_rank = 0;
     bool found = false;
     for (unsigned i = 0; i < search->count; i++) {
         const engine_candidate_t *engine = &search->candidates[i];
-        if (!searched(search, engine) || engine->load > bound)
+        if (!eligible(search, engine) || engine->load > bound)
             continue;
         uint64_t engine_rank = rank(search->part, engine);
         if (found && engine_rank <= best_rank)
@@ -77,17 +77,17 @@
     return found;
 }
 
-/** Searches this zone, then all. */
+/** Searches the local zone, then all zones. */
 static bool search_zones(search_t *search, unsigned *chosen) {
-    search->near_only = true;
+    search->local_only = true;
     if (search_engine(search, chosen))
         return true;
-    search->near_only = false;
+    search->local_only = false;
     return search_engine(search, chosen);
 }
 
-static const engine_candidate_t *find_place(const engine_candidate_t *candidates, unsigned count,
-                                            const engine_request_t *request) {
+static const engine_candidate_t *find_current(const engine_candidate_t *candidates, unsigned count,
+                                              const engine_request_t *request) {
     for (unsigned i = 0; i < count; i++)
         if (candidates[i].id == request->place && !candidates[i].down)
             return &candidates[i];
@@ -95,7 +95,7 @@
 }
 
 bool engine_crowded(const engine_candidate_t *engine) {
-    return engine->load * PERCENT >= engine->slots * LEAVE_PERCENT;
+    return engine->load * PERCENT >= engine->slots * OVERLOAD_PERCENT;
 }
 
 bool engine_choose(const engine_candidate_t *candidates, unsigned count,
@@ -104,13 +104,13 @@
         .candidates = candidates,
         .count = count,
         .part = request->part,
-        .use_avoided = sign_doubtful(candidates, count),
+        .use_avoided = avoidance_unreliable(candidates, count),
     };
-    const engine_candidate_t *place = find_place(candidates, count, request);
-    if (place == NULL)
+    const engine_candidate_t *current = find_current(candidates, count, request);
+    if (current == NULL)
         return search_zones(&search, chosen);
-    search.load_most_percent = MOVE_PERCENT;
-    if (!engine_crowded(place) || !search_zones(&search, chosen))
-        *chosen = (unsigned)(place - candidates);
+    search.max_load_percent = TARGET_MAX_PERCENT;
+    if (!engine_crowded(current) || !search_zones(&search, chosen))
+        *chosen = (unsigned)(current - candidates);
     return true;
 }
--- a/src/core/routing/engine_choice.h
+++ b/src/core/routing/engine_choice.h
@@ -1,16 +1,17 @@
 /**
  * @file engine_choice.h
- * At which engine a turn of a program runs.
+ * Chooses the engine for a turn of a program by load and prompt cache affinity.
  *
- * An engine that has run a program keeps the program's prompt: its next turn reads only what is
- * new. Anywhere else it reads all of it, and every other call at that engine waits meanwhile. So a
- * program stays at its engine, unless that has a long queue and another is at most half full. A
- * program that has none yet gets one by its prompt's first part, which many programs share: the
- * engines are ranked by a hash of part and engine, equal at each gateway, and the first whose load
- * is not far above the mean is taken. So few engines read a part, and more do as its load grows.
+ * The engine that ran a program's last turn has its prompt cached and processes only the new
+ * tokens. Any other engine has to process the whole prompt, which delays all of its calls. A
+ * program therefore stays at its engine, unless that engine is overloaded and another one is at
+ * most half full. A program without an engine is placed by the first part of its prompt, which many
+ * programs share, by rendezvous hashing with bounded loads: engines are ranked by a hash of part
+ * and engine that is the same at all gateways, and the first one whose load is not far above the
+ * mean is chosen. So a part is processed by few engines, and by more as its load grows.
  *
- * Engines of another zone are used only if none of this zone will do. One that seems to be down is
- * left out, unless so many seem so that the sign says nothing.
+ * Engines of other zones are used only if none in the local zone qualifies. Engines that are
+ * probably down are excluded, unless so many are that the indication is unreliable.
  *
  * Decision code: no I/O, clock or thread.
  */
@@ -20,24 +21,24 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** One engine that could run the call. */
+/** An engine that can run the call. */
 typedef struct {
-    uint64_t id;   /**< Hash of its instance; the same at each gateway. */
-    unsigned load; /**< Calls under way there, of all gateways as far as known. */
+    uint64_t id;   /**< Hash of its instance; the same at all gateways. */
+    unsigned load; /**< Calls in progress from all gateways, as far as known. */
     unsigned slots;
-    bool near;    /**< In this gateway's zone. */
-    bool avoided; /**< It failed lately or is slow to answer: nothing for a new program. */
-    bool down;    /**< It seems to be down: its programs leave it too. */
+    bool near;    /**< In the gateway's zone. */
+    bool avoided; /**< Failed recently or is slow to respond; gets no new programs. */
+    bool down;    /**< Probably down; its programs move to other engines. */
 } engine_candidate_t;
 
 typedef struct {
-    uint64_t place; /**< Id of the engine that holds the program's prompt; 0: none is known. */
-    uint64_t part;  /**< Hash of the prompt's first part, or else of the program. */
+    uint64_t place; /**< Id of the engine that has the program's prompt cached; 0: unknown. */
+    uint64_t part;  /**< Hash of the first part of the prompt, else of the program. */
 } engine_request_t;
 
-/** True if a program may leave this engine for one with room. */
+/** True if the engine's queue is so long that its programs may move to another engine. */
 bool engine_crowded(const engine_candidate_t *engine);
-/** Chooses among @p count candidates: @p chosen is the index. False if there is none. */
+/** Sets @p chosen to the index of the best candidate. False if no candidate can be used. */
 bool engine_choose(const engine_candidate_t *candidates, unsigned count,
                    const engine_request_t *request, unsigned *chosen);
 
--- a/src/core/routing/engine_cost.c
+++ b/src/core/routing/engine_cost.c
@@ -4,59 +4,60 @@
 
 enum {
     PERCENT = 100,
-    SPEED_LEAST_PERCENT = 5,
-    OTHERS_PERCENT = 25,  /**< Of a call's delay that counts, while a prompt is read again. */
-    NEW_PERCENT = 50,     /**< Of the queue that new programs may use. */
-    SHARING_PERCENT = 10, /**< So much longer a turn takes where all slots are taken. */
+    MIN_SPEED_PERCENT = 5,
+    INTERFERENCE_PERCENT = 25, /**< Weight of the delay that a prompt causes to a running call. */
+    NEW_PROGRAM_QUEUE_PERCENT = 50, /**< Part of the queue that new programs may use. */
+    SHARING_PERCENT = 10,           /**< Increase of a turn's duration with all slots occupied. */
 };
 
-static double speed_of(const engine_state_t *engine) {
-    return (double)MAX(engine->speed_percent, SPEED_LEAST_PERCENT) / PERCENT;
+static double relative_speed(const engine_state_t *engine) {
+    return (double)MAX(engine->speed_percent, MIN_SPEED_PERCENT) / PERCENT;
 }
 
-/** Time in which one call after another ends, while all slots are taken. */
+/** Mean time between completions with all slots occupied. */
 static double departure_ms(const engine_state_t *engine, const engine_turn_t *turn) {
-    return turn->turn_ms / MAX(engine->slots, 1) / speed_of(engine);
+    return turn->turn_ms / MAX(engine->slots, 1) / relative_speed(engine);
 }
 
-static unsigned running(const engine_state_t *engine) {
+static unsigned running_calls(const engine_state_t *engine) {
     return MIN(engine->load, engine->slots);
 }
 
-/** Reading what was read elsewhere before, with what the calls that run there lose by it. */
-static double again_ms(const engine_state_t *engine, const engine_turn_t *turn,
-                       engine_holds_t holds) {
+/** Time to process tokens cached elsewhere, plus the weighted delay of the running calls. */
+static double reread_ms(const engine_state_t *engine, const engine_turn_t *turn,
+                        prompt_cache_t cache) {
     uint32_t tokens = turn->prompt_tokens - MIN(turn->new_tokens, turn->prompt_tokens);
-    if (holds == ENGINE_HOLDS_PROMPT)
+    if (cache == PROMPT_CACHE_HIT)
         return 0;
-    if (holds == ENGINE_HOLDS_PART)
+    if (cache == PROMPT_CACHE_PART)
         tokens -= MIN(turn->part_tokens, tokens);
-    double others = 1 + (double)running(engine) * OTHERS_PERCENT / PERCENT;
-    return tokens / turn->tokens_per_ms / speed_of(engine) * others;
+    double interference = 1 + (double)running_calls(engine) * INTERFERENCE_PERCENT / PERCENT;
+    return tokens / turn->tokens_per_ms / relative_speed(engine) * interference;
 }
 
 double engine_cost_ms(const engine_state_t *engine, const engine_turn_t *turn,
-                      engine_holds_t holds) {
-    double beyond = engine->load < engine->slots ? 0 : engine->load - engine->slots + 1;
-    double taken = (double)running(engine) / MAX(engine->slots, 1);
-    double work = turn->turn_ms / speed_of(engine) * (1 + taken * SHARING_PERCENT / PERCENT);
-    return beyond * departure_ms(engine, turn) + work + again_ms(engine, turn, holds);
+                      prompt_cache_t cache) {
+    double waiting = engine->load < engine->slots ? 0 : engine->load - engine->slots + 1;
+    double occupancy = (double)running_calls(engine) / MAX(engine->slots, 1);
+    double work =
+        turn->turn_ms / relative_speed(engine) * (1 + occupancy * SHARING_PERCENT / PERCENT);
+    return waiting * departure_ms(engine, turn) + work + reread_ms(engine, turn, cache);
 }
 
 bool engine_full_for_new(const engine_state_t *engine) {
-    unsigned queue = (engine->queue * NEW_PERCENT + PERCENT - 1) / PERCENT;
+    unsigned queue = (engine->queue * NEW_PROGRAM_QUEUE_PERCENT + PERCENT - 1) / PERCENT;
     return engine_full(engine) || (engine->queue > 0 && engine->load >= engine->slots + queue);
 }
 
 bool engine_full(const engine_state_t *engine) {
-    bool at_bound = engine->queue > 0 && engine->load >= engine->slots + engine->queue;
-    return engine->turns_away || at_bound;
+    bool queue_full = engine->queue > 0 && engine->load >= engine->slots + engine->queue;
+    return engine->turns_away || queue_full;
 }
 
 double engine_free_ms(const engine_state_t *engine, const engine_turn_t *turn) {
-    unsigned room = engine_full(engine) ? engine->slots + engine->queue : engine->slots;
-    unsigned before = engine->load < room ? 0 : engine->load - room + 1;
+    unsigned limit = engine_full(engine) ? engine->slots + engine->queue : engine->slots;
+    unsigned ahead = engine->load < limit ? 0 : engine->load - limit + 1;
     if (engine_full(engine))
-        before = MAX(before, 1);
-    return before * departure_ms(engine, turn);
+        ahead = MAX(ahead, 1);
+    return ahead * departure_ms(engine, turn);
 }
--- a/src/core/routing/engine_cost.h
+++ b/src/core/routing/engine_cost.h
@@ -1,11 +1,11 @@
 /**
  * @file engine_cost.h
- * What a turn costs at an engine: the expected time until it ends there, in ms.
+ * Cost of running a turn at an engine: the expected time to its completion, in ms.
  *
- * Known are the calls that all gateways have there, its slots, its speed and how much of the prompt
- * it holds. Beyond the slots a turn waits for those before it. An engine that holds the program's
- * prompt reads only what is new; any other one reads all of it, and what runs there waits
- * meanwhile, which is counted as a cost of moving.
+ * The estimate uses the calls of all gateways at the engine, its slots, its speed and how much of
+ * the prompt it has cached. Calls beyond the slots wait in a queue. An engine without the prompt
+ * in its cache processes all of it; the delay of the calls that run there meanwhile is added to the
+ * cost.
  *
  * Decision code: no I/O, clock or thread. Times are in ms.
  */
@@ -15,42 +15,41 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** What is known of one engine. */
 typedef struct {
-    unsigned load; /**< Calls under way there, of all gateways as far as known. */
+    unsigned load; /**< Calls in progress from all gateways, as far as known. */
     unsigned slots;
-    unsigned queue;         /**< Calls that it lets wait besides; 0: unknown. */
+    unsigned queue;         /**< Maximum number of queued calls; 0: unknown. */
     unsigned speed_percent; /**< Of the service's typical speed; see backend_speed.h. */
-    bool turns_away;        /**< It turned a call away, and its load has not fallen since. */
+    bool turns_away;        /**< It refused a call, and its load has not fallen since. */
 } engine_state_t;
 
-/** What is known of a turn, and of turns of its service at typical speed. */
+/** A turn's prompt, and typical figures of its service. */
 typedef struct {
-    uint32_t prompt_tokens; /**< In all. */
-    uint32_t new_tokens;    /**< Of these, what the engine that holds the prompt has not read. */
-    uint32_t part_tokens;   /**< Of the prompt's first part, which many programs share. */
-    double turn_ms;         /**< A turn at an engine of typical speed that has a slot free. */
-    double tokens_per_ms;   /**< Of a prompt, read at typical speed. */
+    uint32_t prompt_tokens; /**< Length of the whole prompt. */
+    uint32_t new_tokens;    /**< Added since the program's last turn. */
+    uint32_t part_tokens;   /**< Of the first part of the prompt, which many programs share. */
+    double turn_ms;         /**< Duration of a turn at typical speed with a free slot. */
+    double tokens_per_ms;   /**< Prompt processing rate at typical speed. */
 } engine_turn_t;
 
-/** How much of a turn's prompt an engine holds. */
+/** How much of a turn's prompt an engine has cached. */
 typedef enum {
-    ENGINE_HOLDS_NOTHING,
-    ENGINE_HOLDS_PART,   /**< The first part. */
-    ENGINE_HOLDS_PROMPT, /**< All but what is new. */
-} engine_holds_t;
+    PROMPT_CACHE_MISS,
+    PROMPT_CACHE_PART, /**< The first part. */
+    PROMPT_CACHE_HIT,  /**< All but the new tokens. */
+} prompt_cache_t;
 
-/** Expected time until the turn ends there, with what others there lose by a prompt read again. */
+/** Expected time to completion, plus the delay that processing the prompt causes to other calls. */
 double engine_cost_ms(const engine_state_t *engine, const engine_turn_t *turn,
-                      engine_holds_t holds);
-/** True if the engine turns a further call away. */
+                      prompt_cache_t cache);
+/** True if the engine is expected to refuse another call. */
 bool engine_full(const engine_state_t *engine);
 /**
- * True if a new program is not to begin there: the last part of the queue is left to the turns of
- * programs under way, whose work so far would be lost.
+ * True if the engine gets no new programs. Part of the queue is reserved for programs in progress,
+ * whose work would be wasted if they were refused.
  */
 bool engine_full_for_new(const engine_state_t *engine);
-/** Expected time until it has room: for a call in its queue if it is full, else in a slot. */
+/** Expected time until the engine has a free place: in its queue if it is full, else in a slot. */
 double engine_free_ms(const engine_state_t *engine, const engine_turn_t *turn);
 
 #endif
--- a/src/core/routing/engine_limit.c
+++ b/src/core/routing/engine_limit.c
@@ -3,42 +3,43 @@
 #include <glib.h>
 
 enum {
-    REFUSED_MS = 300, /**< By then what other gateways have there is known. */
-    PARTS = 4,        /**< One refusal moves the bound by one part in so many. */
+    REFUSAL_HOLD_MS = 300, /**< Load reports of the other gateways arrive within this time. */
+    STEP_DIVISOR = 4,      /**< A refusal moves the limit by this fraction of the difference. */
 };
 
-static void begin_life(engine_limit_t *limit, uint64_t born) {
-    if (limit->born != born)
-        *limit = (engine_limit_t){.born = born};
+static void reset_on_restart(engine_limit_t *limit, uint64_t incarnation) {
+    if (limit->incarnation != incarnation)
+        *limit = (engine_limit_t){.incarnation = incarnation};
 }
 
-void engine_limit_note_refused(engine_limit_t *limit, uint64_t born, unsigned load, unsigned slots,
-                               uint64_t now) {
-    begin_life(limit, born);
+void engine_limit_note_refused(engine_limit_t *limit, uint64_t incarnation, unsigned load,
+                               unsigned slots, uint64_t now) {
+    reset_on_restart(limit, incarnation);
     limit->refused_load = load;
-    limit->refused_until = now + REFUSED_MS;
-    /* With slots free it was not for want of room, or the load known is too old to tell. */
+    limit->refused_until = now + REFUSAL_HOLD_MS;
+    /* With free slots the refusal had another cause, or the known load is stale. */
     if (load < slots)
         return;
-    if (limit->bound == 0)
-        limit->bound = load;
-    limit->bound += (load - limit->bound) / PARTS;
+    if (limit->limit == 0)
+        limit->limit = load;
+    limit->limit += (load - limit->limit) / STEP_DIVISOR;
 }
 
-void engine_limit_note_taken(engine_limit_t *limit, uint64_t born, unsigned load) {
-    begin_life(limit, born);
-    if (limit->bound > 0)
-        limit->bound = MAX(limit->bound, (double)load + 1);
+void engine_limit_note_taken(engine_limit_t *limit, uint64_t incarnation, unsigned load) {
+    reset_on_restart(limit, incarnation);
+    if (limit->limit > 0)
+        limit->limit = MAX(limit->limit, (double)load + 1);
 }
 
-bool engine_limit_turns_away(const engine_limit_t *limit, uint64_t born, unsigned load,
+bool engine_limit_turns_away(const engine_limit_t *limit, uint64_t incarnation, unsigned load,
                              uint64_t now) {
-    return limit->born == born && now < limit->refused_until && load >= limit->refused_load;
+    return limit->incarnation == incarnation && now < limit->refused_until &&
+           load >= limit->refused_load;
 }
 
-unsigned engine_limit_queue(const engine_limit_t *limit, uint64_t born, unsigned slots) {
-    if (limit->born != born || limit->bound == 0)
+unsigned engine_limit_queue(const engine_limit_t *limit, uint64_t incarnation, unsigned slots) {
+    if (limit->incarnation != incarnation || limit->limit == 0)
         return 0;
-    unsigned bound = (unsigned)(limit->bound + 0.5);
-    return bound > slots ? bound - slots : 1;
+    unsigned rounded = (unsigned)(limit->limit + 0.5);
+    return rounded > slots ? rounded - slots : 1;
 }
--- a/src/core/routing/engine_limit.h
+++ b/src/core/routing/engine_limit.h
@@ -1,12 +1,12 @@
 /**
  * @file engine_limit.h
- * How many calls an engine takes before it turns one away.
+ * Estimates how many calls an engine accepts before it refuses one.
  *
- * No directory tells it. An engine that turned a call away is known as full: nothing goes there
- * until its load has fallen, or what is known of its load has had time to come. The load at that
- * moment is also what its queue holds. Loads are known late, so that one such load says little;
- * the bound follows them by parts, and a call that was taken at a higher load moves it up. It is
- * learned for one life of the engine: another one starts with nothing known.
+ * The directory does not publish this limit. After a refusal the engine counts as full until its
+ * load has fallen, or until the loads known here have been updated. The load at a refusal is also
+ * an observation of the limit. Since known loads lag, the estimate follows these observations
+ * gradually; an accepted call at a higher load raises it. Estimates belong to one incarnation of
+ * the engine.
  *
  * Decision code: no I/O, clock or thread; an object belongs to one thread. Times are in ms.
  */
@@ -16,23 +16,23 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Zeroed: nothing is known. */
+/** Zero-initialized: nothing is known. */
 typedef struct {
-    uint64_t born;          /**< Of the life that this was learned in. */
-    double bound;           /**< Load at which calls are turned away; 0: unknown. */
-    unsigned refused_load;  /**< When it last turned a call away. */
-    uint64_t refused_until; /**< Until then it counts as full unless its load has fallen. */
+    uint64_t incarnation;   /**< The engine's incarnation that the rest applies to. */
+    double limit;           /**< Load at which calls are refused; 0: unknown. */
+    unsigned refused_load;  /**< Load at the latest refusal. */
+    uint64_t refused_until; /**< Until then the engine is full unless its load has fallen. */
 } engine_limit_t;
 
-/** It turned a call away when its load, without that call, was @p load. */
-void engine_limit_note_refused(engine_limit_t *limit, uint64_t born, unsigned load, unsigned slots,
-                               uint64_t now);
-/** It ran a call that was sent when its load was @p load. */
-void engine_limit_note_taken(engine_limit_t *limit, uint64_t born, unsigned load);
-/** True if it turned a call away and its load has not fallen since. */
-bool engine_limit_turns_away(const engine_limit_t *limit, uint64_t born, unsigned load,
+/** The engine refused a call; @p load does not include that call. */
+void engine_limit_note_refused(engine_limit_t *limit, uint64_t incarnation, unsigned load,
+                               unsigned slots, uint64_t now);
+/** The engine ran a call that was sent at load @p load. */
+void engine_limit_note_taken(engine_limit_t *limit, uint64_t incarnation, unsigned load);
+/** True if the engine refused a call recently and its load has not fallen since. */
+bool engine_limit_turns_away(const engine_limit_t *limit, uint64_t incarnation, unsigned load,
                              uint64_t now);
-/** Calls that it lets wait; 0: unknown. */
-unsigned engine_limit_queue(const engine_limit_t *limit, uint64_t born, unsigned slots);
+/** Estimated maximum number of queued calls; 0: unknown. */
+unsigned engine_limit_queue(const engine_limit_t *limit, uint64_t incarnation, unsigned slots);
 
 #endif
--- a/src/core/routing/engine_placement.c
+++ b/src/core/routing/engine_placement.c
@@ -6,73 +6,73 @@
 
 enum {
     PERCENT = 100,
-    MOVE_PERCENT = 100, /**< Of a turn's time: a move gains more than that. */
-    PART_SHARE = 4,     /**< A part belongs to one engine in so many. */
-    AVOIDED_SHARE = 3,  /**< The sign is not trusted if more than one in so many show it. */
-    DRAW_BITS = 16,
-    NOWHERE = -1,
+    MIN_GAIN_PERCENT = 100, /**< Minimum gain of a move, in percent of a turn's duration. */
+    PART_DIVISOR = 4,       /**< A part is assigned to 1/4 of the engines. */
+    AVOIDED_DIVISOR = 3,    /**< If more than 1/3 are avoided, the indication is unreliable. */
+    RANDOM_FIELD_BITS = 16,
+    NO_ENGINE = -1,
 };
 
-/** A search among options. */
 typedef struct {
     const engine_option_t *options;
     unsigned count;
     const placement_request_t *request;
     bool use_avoided;
     bool use_full;
-    bool use_place; /**< Although it seems to be down. */
+    bool use_current; /**< Include the program's current engine, although it is probably down. */
 } search_t;
 
-/** True if so many engines are avoided that the sign says nothing. */
-static bool sign_doubtful(const engine_option_t *options, unsigned count) {
+/** True if so many engines are avoided that the indication is unreliable. */
+static bool avoidance_unreliable(const engine_option_t *options, unsigned count) {
     unsigned avoided = 0;
     for (unsigned i = 0; i < count; i++)
         avoided += options[i].avoided;
-    return avoided * AVOIDED_SHARE > count;
+    return avoided * AVOIDED_DIVISOR > count;
 }
 
-static bool is_place(const search_t *search, const engine_option_t *option) {
+/** True if this is the engine that has the program's prompt cached. */
+static bool is_current(const search_t *search, const engine_option_t *option) {
     return search->request->place != 0 && option->id == search->request->place;
 }
 
-/** True if the part belongs to this engine: it is read there rather than elsewhere. */
-static bool owns_part(const search_t *search, const engine_option_t *option) {
-    return XXH64(&option->id, sizeof option->id, search->request->part) % PART_SHARE == 0;
+/** True if the request's prompt part is assigned to this engine. */
+static bool has_assigned_part(const search_t *search, const engine_option_t *option) {
+    return XXH64(&option->id, sizeof option->id, search->request->part) % PART_DIVISOR == 0;
 }
 
 static double cost_of(const search_t *search, const engine_option_t *option) {
-    engine_holds_t holds = ENGINE_HOLDS_NOTHING;
-    if (is_place(search, option))
-        holds = ENGINE_HOLDS_PROMPT;
-    else if (owns_part(search, option))
-        holds = ENGINE_HOLDS_PART;
-    double far_ms = option->near ? 0 : ENGINE_FAR_COST_MS;
-    return engine_cost_ms(&option->state, &search->request->turn, holds) + far_ms;
+    prompt_cache_t cache = PROMPT_CACHE_MISS;
+    if (is_current(search, option))
+        cache = PROMPT_CACHE_HIT;
+    else if (has_assigned_part(search, option))
+        cache = PROMPT_CACHE_PART;
+    double remote_ms = option->near ? 0 : ENGINE_REMOTE_COST_MS;
+    return engine_cost_ms(&option->state, &search->request->turn, cache) + remote_ms;
 }
 
 static bool usable(const search_t *search, const engine_option_t *option) {
     return !option->avoided || search->use_avoided;
 }
 
-/** True if the turn may go there from elsewhere. */
-static bool has_room(const search_t *search, const engine_option_t *option) {
+/** True if the engine can take the turn of a program that is not there yet. */
+static bool accepts_turn(const search_t *search, const engine_option_t *option) {
     if (!usable(search, option))
         return false;
-    if (is_place(search, option) && !search->use_place)
+    if (is_current(search, option) && !search->use_current)
         return false;
     if (!search->request->begun)
         return !engine_full_for_new(&option->state);
     return search->use_full || !engine_full(&option->state);
 }
 
-static const engine_option_t *find_place(const search_t *search) {
+static const engine_option_t *find_current(const search_t *search) {
     for (unsigned i = 0; i < search->count; i++)
-        if (is_place(search, &search->options[i]) && !search->options[i].down)
+        if (is_current(search, &search->options[i]) && !search->options[i].down)
             return &search->options[i];
     return NULL;
 }
 
-static double first_free(const search_t *search) {
+static double min_free_ms(const search_t *search) {
     double first = INFINITY;
     for (unsigned i = 0; i < search->count; i++)
         if (usable(search, &search->options[i]))
@@ -80,25 +80,25 @@
     return first;
 }
 
-/** The least cost of an engine with room in this zone; INFINITY: there is none. */
-static double least_near(const search_t *search) {
-    double least = INFINITY;
+/** Lowest cost of an engine in the local zone that accepts the turn; INFINITY if there is none. */
+static double min_local_cost(const search_t *search) {
+    double lowest = INFINITY;
     for (unsigned i = 0; i < search->count; i++)
-        if (search->options[i].near && has_room(search, &search->options[i]))
-            least = fmin(least, cost_of(search, &search->options[i]));
-    return least;
+        if (search->options[i].near && accepts_turn(search, &search->options[i]))
+            lowest = fmin(lowest, cost_of(search, &search->options[i]));
+    return lowest;
 }
 
-static bool drawn_from(const search_t *search, const engine_option_t *option, bool near) {
-    return option->near == near && has_room(search, option);
+static bool eligible(const search_t *search, const engine_option_t *option, bool local_zone) {
+    return option->near == local_zone && accepts_turn(search, option);
 }
 
-/** Two engines that are drawn from: the ones at these positions among them. */
-static void find_two(const search_t *search, bool near, const unsigned positions[2],
-                     int indices[2]) {
+/** Indices of the engines at two positions among the eligible ones. */
+static void find_at_positions(const search_t *search, bool local_zone, const unsigned positions[2],
+                              int indices[2]) {
     unsigned position = 0;
     for (unsigned i = 0; i < search->count; i++) {
-        if (!drawn_from(search, &search->options[i], near))
+        if (!eligible(search, &search->options[i], local_zone))
             continue;
         for (unsigned which = 0; which < 2; which++)
             if (positions[which] == position)
@@ -107,18 +107,18 @@
     }
 }
 
-/** Draws two engines with room, and takes the better one. */
-static int draw_two(const search_t *search, bool near) {
+/** The cheaper of two eligible engines sampled at random. */
+static int best_of_two(const search_t *search, bool local_zone) {
     unsigned count = 0;
     for (unsigned i = 0; i < search->count; i++)
-        count += drawn_from(search, &search->options[i], near);
+        count += eligible(search, &search->options[i], local_zone);
     if (count == 0)
-        return NOWHERE;
-    uint64_t draw = search->request->draw;
-    const unsigned positions[2] = {(unsigned)(draw >> DRAW_BITS) % count,
-                                   (unsigned)(draw >> 2 * DRAW_BITS) % count};
-    int indices[2] = {NOWHERE, NOWHERE};
-    find_two(search, near, positions, indices);
+        return NO_ENGINE;
+    uint64_t random = search->request->draw;
+    const unsigned positions[2] = {(unsigned)(random >> RANDOM_FIELD_BITS) % count,
+                                   (unsigned)(random >> 2 * RANDOM_FIELD_BITS) % count};
+    int indices[2] = {NO_ENGINE, NO_ENGINE};
+    find_at_positions(search, local_zone, positions, indices);
     double first_ms = cost_of(search, &search->options[indices[0]]);
     return first_ms <= cost_of(search, &search->options[indices[1]]) ? indices[0] : indices[1];
 }
@@ -128,66 +128,69 @@
 }
 
 /**
- * An engine other than the program's: of another zone only if the turn would wait in this one, and
- * all engines of this one are worse.
+ * Chooses an engine other than the program's current one: a remote one only if the turn would be
+ * queued in the local zone, and all local engines cost more.
  */
-static int draw_other(const search_t *search) {
-    int near = draw_two(search, true);
-    if (near != NOWHERE && has_slot(&search->options[near]))
-        return near;
-    int far = draw_two(search, false);
-    if (far == NOWHERE || near == NOWHERE)
-        return near == NOWHERE ? far : near;
-    return cost_of(search, &search->options[far]) < least_near(search) ? far : near;
-}
-
-/** True for as large a share of the turns as brings both engines to one cost. */
-static bool leaves(const search_t *search, double place_ms, double other_ms) {
+static int choose_other(const search_t *search) {
+    int local_index = best_of_two(search, true);
+    if (local_index != NO_ENGINE && has_slot(&search->options[local_index]))
+        return local_index;
+    int remote_index = best_of_two(search, false);
+    if (remote_index == NO_ENGINE || local_index == NO_ENGINE)
+        return local_index == NO_ENGINE ? remote_index : local_index;
+    return cost_of(search, &search->options[remote_index]) < min_local_cost(search) ? remote_index
+                                                                                    : local_index;
+}
+
+/** True for the share of turns that equalizes the costs of both engines. */
+static bool should_leave(const search_t *search, double place_ms, double other_ms) {
     double gain = place_ms - other_ms;
     double share = gain / (2 * place_ms);
-    double drawn = (double)(search->request->draw & ((1U << DRAW_BITS) - 1)) / (1U << DRAW_BITS);
-    return gain > search->request->turn.turn_ms * MOVE_PERCENT / PERCENT && drawn < share;
+    double sample = (double)(search->request->draw & ((1U << RANDOM_FIELD_BITS) - 1)) /
+                    (1U << RANDOM_FIELD_BITS);
+    return gain > search->request->turn.turn_ms * MIN_GAIN_PERCENT / PERCENT && sample < share;
 }
 
-static bool stays(const search_t *search, const engine_option_t *place, int other) {
-    if (other == NOWHERE)
+static bool should_stay(const search_t *search, const engine_option_t *current, int other) {
+    if (other == NO_ENGINE)
         return true;
-    if (place->state.turns_away)
+    if (current->state.turns_away)
         return false;
-    return !leaves(search, cost_of(search, place), cost_of(search, &search->options[other]));
+    return !should_leave(search, cost_of(search, current),
+                         cost_of(search, &search->options[other]));
 }
 
-static int choose(search_t *search, const engine_option_t *place) {
-    int other = draw_other(search);
-    if (place != NULL)
-        return stays(search, place, other) ? (int)(place - search->options) : other;
-    if (other != NOWHERE || !search->request->begun)
+static int choose(search_t *search, const engine_option_t *current) {
+    int other = choose_other(search);
+    if (current != NULL)
+        return should_stay(search, current, other) ? (int)(current - search->options) : other;
+    if (other != NO_ENGINE || !search->request->begun)
         return other;
     search->use_full = true;
-    other = draw_other(search);
-    if (other != NOWHERE)
+    other = choose_other(search);
+    if (other != NO_ENGINE)
         return other;
-    search->use_place = true;
-    return draw_other(search);
+    search->use_current = true;
+    return choose_other(search);
 }
 
-static double idle_far_cost(const search_t *search) {
+static double idle_remote_cost(const search_t *search) {
     engine_state_t idle = {.slots = 1, .speed_percent = PERCENT};
-    return engine_cost_ms(&idle, &search->request->turn, ENGINE_HOLDS_NOTHING) + ENGINE_FAR_COST_MS;
+    return engine_cost_ms(&idle, &search->request->turn, PROMPT_CACHE_MISS) + ENGINE_REMOTE_COST_MS;
 }
 
 placement_t engine_place(const engine_option_t *options, unsigned count,
                          const placement_request_t *request) {
     search_t search = {.options = options, .count = count, .request = request};
-    search.use_avoided = sign_doubtful(options, count);
-    const engine_option_t *place = find_place(&search);
+    search.use_avoided = avoidance_unreliable(options, count);
+    const engine_option_t *current = find_current(&search);
     placement_t placement = {0};
-    if (place != NULL)
-        placement.place_ms = cost_of(&search, place);
-    int chosen = choose(&search, place);
-    if (chosen == NOWHERE || request->wants_free_ms)
-        placement.free_ms = first_free(&search);
-    if (chosen == NOWHERE) {
+    if (current != NULL)
+        placement.place_ms = cost_of(&search, current);
+    int chosen = choose(&search, current);
+    if (chosen == NO_ENGINE || request->wants_free_ms)
+        placement.free_ms = min_free_ms(&search);
+    if (chosen == NO_ENGINE) {
         placement.outcome = isinf(placement.free_ms) ? PLACEMENT_NONE : PLACEMENT_FULL;
         return placement;
     }
@@ -195,6 +198,6 @@
     placement.cost_ms = cost_of(&search, &options[chosen]);
     placement.look_far =
         search.use_avoided || search.use_full ||
-        (!has_slot(&options[chosen]) && placement.cost_ms > idle_far_cost(&search));
+        (!has_slot(&options[chosen]) && placement.cost_ms > idle_remote_cost(&search));
     return placement;
 }
--- a/src/core/routing/engine_placement.h
+++ b/src/core/routing/engine_placement.h
@@ -1,61 +1,60 @@
 /**
  * @file engine_placement.h
- * At which engine a turn runs, by what it costs there (engine_cost.h).
+ * Chooses the engine for a turn by expected cost (engine_cost.h).
  *
- * The least cost wins. A program leaves the engine that holds its prompt if that is full, or if
- * another costs less although it reads the whole prompt. What is known of loads is late, and all
- * gateways know the same: so of the turns at a crowded engine only as large a share leaves as
- * brings both engines to one cost, and among engines of nearly equal cost two are drawn and the
- * better is taken. Of these, the engines that a part of the prompt belongs to come first: a part is
- * read at few engines, which a hash of part and engine names equally at each gateway.
+ * A program leaves the engine that has its prompt cached if that engine is full, or if another one
+ * costs less even though it has to process the whole prompt. Known loads lag, and all gateways know
+ * the same loads, so two measures prevent herding: only the share of turns that equalizes the costs
+ * of both engines leaves an overloaded engine, and the target is the better of two engines sampled
+ * at random. Each prompt part is assigned to a subset of the engines by a hash that is the same at
+ * all gateways; those engines cost less, so that a part is processed by few engines.
  *
- * Nothing new goes to a full engine. A program that is under way goes to one if all are full, since
- * loads are known late; a new one is not sent at all.
+ * A full engine gets no new programs; if all are full, a new program is refused before it is sent.
+ * A program in progress is still sent to a full engine, since known loads may be stale.
  *
- * Decision code: no I/O, clock, thread or chance. Times are in ms.
+ * Decision code: no I/O, clock, thread or random number generator. Times are in ms.
  */
 #ifndef RUDDERWAY_CORE_ROUTING_ENGINE_PLACEMENT_H
 #define RUDDERWAY_CORE_ROUTING_ENGINE_PLACEMENT_H
 
 #include "core/routing/engine_cost.h"
 
-/** What an engine of another zone costs more: bytes between zones are dear. */
-enum { ENGINE_FAR_COST_MS = 10 };
+/** Added to the cost of an engine in another zone, since traffic between zones is expensive. */
+enum { ENGINE_REMOTE_COST_MS = 10 };
 
-/** One engine that could run the turn. */
+/** An engine that can run the turn. */
 typedef struct {
-    uint64_t id; /**< Hash of its instance; the same at each gateway. */
+    uint64_t id; /**< Hash of its instance; the same at all gateways. */
     engine_state_t state;
-    bool near;    /**< In this gateway's zone. */
-    bool avoided; /**< It failed lately or is slow to answer: nothing for a new program. */
-    bool down;    /**< It seems to be down: its programs leave it too. */
+    bool near;    /**< In the gateway's zone. */
+    bool avoided; /**< Failed recently or is slow to respond; gets no new programs. */
+    bool down;    /**< Probably down; its programs move to other engines. */
 } engine_option_t;
 
 typedef struct {
-    uint64_t place; /**< Id of the engine that holds the program's prompt; 0: none is known. */
-    uint64_t part;  /**< Hash of the prompt's first part, or else of the program. */
+    uint64_t place; /**< Id of the engine that has the program's prompt cached; 0: unknown. */
+    uint64_t part;  /**< Hash of the first part of the prompt, else of the program. */
     engine_turn_t turn;
-    bool begun;         /**< The program is under way: a full engine is better than none. */
-    bool wants_free_ms; /**< Also if an engine is found. */
-    uint64_t draw;      /**< Drawn anew for each turn by each gateway. */
+    bool begun;         /**< The program is in progress: a full engine is better than none. */
+    bool wants_free_ms; /**< Set free_ms even if an engine is found. */
+    uint64_t draw;      /**< Random bits of this turn. */
 } placement_request_t;
 
 typedef enum {
     PLACEMENT_FOUND,
-    PLACEMENT_NONE, /**< No engine may be used. */
-    PLACEMENT_FULL, /**< All that may be used are full. */
+    PLACEMENT_NONE, /**< No engine can be used. */
+    PLACEMENT_FULL, /**< All usable engines are full. */
 } placement_outcome_t;
 
 typedef struct {
     placement_outcome_t outcome;
-    unsigned chosen; /**< Index of the engine, if one was found. */
-    double cost_ms;  /**< There. */
-    double place_ms; /**< Cost of staying; 0: the program has no engine among the options. */
-    double free_ms;  /**< Until the first of the engines has room; if none is found, or wanted. */
-    bool look_far;   /**< An engine of another zone may do better. */
+    unsigned chosen; /**< PLACEMENT_FOUND: index of the engine. */
+    double cost_ms;  /**< PLACEMENT_FOUND: cost at that engine. */
+    double place_ms; /**< Cost at the program's current engine; 0: it has none among the options. */
+    double free_ms;  /**< Expected time until an engine is free; set if none is found or wanted. */
+    bool look_far;   /**< An engine in another zone may be better. */
 } placement_t;
 
-/** Chooses among @p count options. */
 placement_t engine_place(const engine_option_t *options, unsigned count,
                          const placement_request_t *request);
 
--- a/src/core/routing/engine_usual.c
+++ b/src/core/routing/engine_usual.c
@@ -4,73 +4,74 @@
 
 enum {
     PERCENT = 100,
-    PARTS = 16,              /**< A sample moves a median by one part in so many. */
-    SAMPLES_LEAST = 8,       /**< So many are needed before a median counts. */
-    READ_TOKENS_LEAST = 500, /**< Shorter prompts are read in too short a time to measure. */
+    STEP_DIVISOR = 16, /**< A sample moves the median by this fraction of its value. */
+    MIN_SAMPLES = 8,
+    MIN_REREAD_TOKENS = 500, /**< Fewer tokens take too little time to measure. */
     TURN_DEFAULT_MS = 100,
-    TURN_LEAST_MS = 5,
-    TURN_MOST_MS = 20000,
-    RATE_DEFAULT = 100, /**< Tokens in a ms. */
-    RATE_LEAST = 1,
-    RATE_MOST = 2000,
+    TURN_MIN_MS = 5,
+    TURN_MAX_MS = 20000,
+    TOKENS_PER_MS_DEFAULT = 100,
+    TOKENS_PER_MS_MIN = 1,
+    TOKENS_PER_MS_MAX = 2000,
 };
 
-static void follow(followed_median_t *median, double sample) {
+static void add_sample(running_median_t *median, double sample) {
     if (median->samples == 0)
         median->value = sample;
     else if (sample > median->value)
-        median->value += median->value / PARTS;
+        median->value += median->value / STEP_DIVISOR;
     else if (sample < median->value)
-        median->value -= median->value / PARTS;
+        median->value -= median->value / STEP_DIVISOR;
     median->samples++;
 }
 
-static double known(const followed_median_t *median, double otherwise) {
-    return median->samples < SAMPLES_LEAST ? otherwise : median->value;
+static double value_or(const running_median_t *median, double fallback) {
+    return median->samples < MIN_SAMPLES ? fallback : median->value;
 }
 
-static double at_typical_speed(double ms, unsigned speed_percent) {
+static double normalize_ms(double ms, unsigned speed_percent) {
     return MAX(ms, 1) * speed_percent / PERCENT;
 }
 
-void engine_usual_note_turn(engine_usual_t *usual, double ms, unsigned speed_percent) {
-    follow(&usual->turn_ms,
-           CLAMP(at_typical_speed(ms, speed_percent), TURN_LEAST_MS, TURN_MOST_MS));
+void engine_usual_note_turn(engine_usual_t *baseline, double ms, unsigned speed_percent) {
+    add_sample(&baseline->turn_ms,
+               CLAMP(normalize_ms(ms, speed_percent), TURN_MIN_MS, TURN_MAX_MS));
 }
 
-void engine_usual_note_first(engine_usual_t *usual, double ms, uint32_t again,
+void engine_usual_note_first(engine_usual_t *baseline, double ms, uint32_t reread_tokens,
                              unsigned speed_percent) {
-    double typical_ms = at_typical_speed(ms, speed_percent);
-    if (again == 0) {
-        follow(&usual->first_ms, typical_ms);
+    double typical_ms = normalize_ms(ms, speed_percent);
+    if (reread_tokens == 0) {
+        add_sample(&baseline->first_event_ms, typical_ms);
         return;
     }
-    if (again < READ_TOKENS_LEAST || usual->first_ms.samples < SAMPLES_LEAST)
+    if (reread_tokens < MIN_REREAD_TOKENS || baseline->first_event_ms.samples < MIN_SAMPLES)
         return;
-    double reading_ms = MAX(typical_ms - usual->first_ms.value, 1);
-    follow(&usual->tokens_per_ms, CLAMP(again / reading_ms, RATE_LEAST, RATE_MOST));
+    double reread_ms = MAX(typical_ms - baseline->first_event_ms.value, 1);
+    add_sample(&baseline->tokens_per_ms,
+               CLAMP(reread_tokens / reread_ms, TOKENS_PER_MS_MIN, TOKENS_PER_MS_MAX));
 }
 
-double engine_usual_turn_ms(const engine_usual_t *usual) {
-    return known(&usual->turn_ms, TURN_DEFAULT_MS);
+double engine_usual_turn_ms(const engine_usual_t *baseline) {
+    return value_or(&baseline->turn_ms, TURN_DEFAULT_MS);
 }
 
-double engine_usual_tokens_per_ms(const engine_usual_t *usual) {
-    return known(&usual->tokens_per_ms, RATE_DEFAULT);
+double engine_usual_tokens_per_ms(const engine_usual_t *baseline) {
+    return value_or(&baseline->tokens_per_ms, TOKENS_PER_MS_DEFAULT);
 }
 
-void engine_usual_note_refused(engine_usual_t *usual, unsigned load, unsigned slots) {
+void engine_usual_note_refused(engine_usual_t *baseline, unsigned load, unsigned slots) {
     if (load >= slots)
-        follow(&usual->full_percent, (double)load * PERCENT / slots);
+        add_sample(&baseline->refused_percent, (double)load * PERCENT / slots);
 }
 
-void engine_usual_note_taken(engine_usual_t *usual, unsigned load, unsigned slots) {
+void engine_usual_note_taken(engine_usual_t *baseline, unsigned load, unsigned slots) {
     double percent = (double)(load + 1) * PERCENT / slots;
-    if (usual->full_percent.samples > 0 && percent > usual->full_percent.value)
-        follow(&usual->full_percent, percent);
+    if (baseline->refused_percent.samples > 0 && percent > baseline->refused_percent.value)
+        add_sample(&baseline->refused_percent, percent);
 }
 
-unsigned engine_usual_queue(const engine_usual_t *usual, unsigned slots) {
-    unsigned bound = (unsigned)(usual->full_percent.value * slots / PERCENT + 0.5);
-    return usual->full_percent.samples == 0 ? 0 : MAX(bound, slots + 1) - slots;
+unsigned engine_usual_queue(const engine_usual_t *baseline, unsigned slots) {
+    unsigned limit = (unsigned)(baseline->refused_percent.value * slots / PERCENT + 0.5);
+    return baseline->refused_percent.samples == 0 ? 0 : MAX(limit, slots + 1) - slots;
 }
--- a/src/core/routing/engine_usual.h
+++ b/src/core/routing/engine_usual.h
@@ -1,10 +1,10 @@
 /**
  * @file engine_usual.h
- * How long the turns of a service take, as one gateway sees them at engines with slots free.
+ * Typical durations and limits of a service's engines, as one gateway observes them.
  *
- * Each figure follows its median: a sample moves it up or down by a fixed part, however far off the
- * sample is, so that a hung engine or one outlier moves it no more than any other. Samples are
- * brought to typical speed first. Until enough is known the figures are defaults.
+ * Each figure is a running median: a sample moves it up or down by a fixed fraction, so that an
+ * outlier or a hung engine has no more influence than any other sample. Samples are normalized to
+ * typical speed. Defaults apply until there are enough samples.
  *
  * Decision code: no I/O, clock or thread; an object belongs to one thread. Times are in ms.
  */
@@ -13,34 +13,37 @@
 
 #include <stdint.h>
 
-/** A median that is followed; zeroed: nothing is known. */
+/** Zero-initialized: no samples. */
 typedef struct {
     double value;
     uint32_t samples;
-} followed_median_t;
+} running_median_t;
 
-/** Zeroed: nothing is known. */
+/** Zero-initialized: nothing is known. */
 typedef struct {
-    followed_median_t turn_ms;
-    followed_median_t first_ms;      /**< To the first event, where the prompt is held. */
-    followed_median_t tokens_per_ms; /**< Of prompts read. */
-    followed_median_t full_percent;  /**< Load at which calls are turned away, of the slots. */
+    running_median_t turn_ms;
+    running_median_t first_event_ms;  /**< Time to the first event with the prompt cached. */
+    running_median_t tokens_per_ms;   /**< Prompt processing rate. */
+    running_median_t refused_percent; /**< Load at which calls are refused, of the slots. */
 } engine_usual_t;
 
-/** A turn ended well @p ms after it was sent. */
-void engine_usual_note_turn(engine_usual_t *usual, double ms, unsigned speed_percent);
-/** The first event came @p ms after the send; @p again: tokens read that other engines hold. */
-void engine_usual_note_first(engine_usual_t *usual, double ms, uint32_t again,
+/** A turn succeeded @p ms after it was sent. */
+void engine_usual_note_turn(engine_usual_t *baseline, double ms, unsigned speed_percent);
+/**
+ * The first event of a turn arrived @p ms after the send.
+ * @param reread_tokens Prompt tokens processed that another engine has cached.
+ */
+void engine_usual_note_first(engine_usual_t *baseline, double ms, uint32_t reread_tokens,
                              unsigned speed_percent);
-/** An engine turned a call away when its load, without that call, was @p load. */
-void engine_usual_note_refused(engine_usual_t *usual, unsigned load, unsigned slots);
-/** An engine ran a call that was sent when its load was @p load. */
-void engine_usual_note_taken(engine_usual_t *usual, unsigned load, unsigned slots);
-/** Calls that an engine of which nothing else is known lets wait; 0: unknown. */
-unsigned engine_usual_queue(const engine_usual_t *usual, unsigned slots);
-/** A turn at an engine of typical speed that has a slot free. */
-double engine_usual_turn_ms(const engine_usual_t *usual);
-/** Prompt tokens that an engine of typical speed reads. */
-double engine_usual_tokens_per_ms(const engine_usual_t *usual);
+/** An engine refused a call; @p load does not include that call. */
+void engine_usual_note_refused(engine_usual_t *baseline, unsigned load, unsigned slots);
+/** An engine ran a call that was sent at load @p load. */
+void engine_usual_note_taken(engine_usual_t *baseline, unsigned load, unsigned slots);
+/** Estimated queue length of an engine without a limit of its own; 0: unknown. */
+unsigned engine_usual_queue(const engine_usual_t *baseline, unsigned slots);
+/** Duration of a turn at an engine of typical speed with a free slot. */
+double engine_usual_turn_ms(const engine_usual_t *baseline);
+/** Prompt processing rate of an engine of typical speed. */
+double engine_usual_tokens_per_ms(const engine_usual_t *baseline);
 
 #endif
--- a/src/core/routing/routing.c
+++ b/src/core/routing/routing.c
@@ -3,16 +3,13 @@
 #include <string.h>
 #include <xxhash.h>
 
-/*
- * Weights of the estimate, in milliseconds. They are the rates of the stand-in engine; the
- * scheduling experiments are to replace them by learned ones.
- */
+/* Weights of the cost estimate; they match the stand-in engine. */
 enum {
     COST_PER_QUEUED_CALL_MS = 60,
     COST_PER_RUNNING_CALL_MS = 6,
     COST_PER_UNCACHED_BLOCK_MS = 8,
     COST_OTHER_ZONE_MS = 3,
-    PREFIXES_PER_BACKEND = 16384,
+    MAX_PREFIXES_PER_BACKEND = 16384,
 };
 
 const char *routing_policy_name(routing_policy_t policy) {
@@ -39,7 +36,7 @@
     return count;
 }
 
-static gboolean is_old(gpointer key, gpointer value, gpointer limit) {
+static gboolean is_older_than(gpointer key, gpointer value, gpointer limit) {
     (void)key;
     return *(const uint64_t *)value < *(const uint64_t *)limit;
 }
@@ -53,11 +50,11 @@
         *stamp = backend->prefix_stamp;
         g_hash_table_replace(backend->prefixes, key, stamp);
     }
-    /* Drop the least recently sent until the view is within its bound. */
+    /* Evict the least recently sent blocks until the table is within its limit. */
     uint64_t limit = backend->prefix_stamp / 2;
-    while (g_hash_table_size(backend->prefixes) > PREFIXES_PER_BACKEND &&
+    while (g_hash_table_size(backend->prefixes) > MAX_PREFIXES_PER_BACKEND &&
            limit < backend->prefix_stamp) {
-        g_hash_table_foreach_remove(backend->prefixes, is_old, &limit);
+        g_hash_table_foreach_remove(backend->prefixes, is_older_than, &limit);
         limit += (backend->prefix_stamp - limit + 1) / 2;
     }
 }
--- a/src/core/routing/routing.h
+++ b/src/core/routing/routing.h
@@ -1,11 +1,13 @@
 /**
  * @file routing.h
- * Which back end takes a call. Decision code: no I/O, clock or thread.
+ * Chooses the back end for a call.
  *
- * The default policy estimates, for each engine, when the call could be done: work ahead of it
- * (the engine's last load report plus what this node sent since) and the part of the prompt
- * that the engine does not hold in its prefix cache. The cache view is optimistic, from what
- * was sent; nothing depends on its being right. Three baselines stay for comparison.
+ * The default policy minimizes the estimated time to completion, from the engine's last load
+ * report, the calls that this node has sent since, and the part of the prompt that is not in the
+ * engine's prefix cache. The view of that cache is derived from the prompts sent and may be wrong;
+ * it only affects the estimate. Three simpler policies serve as baselines for comparison.
+ *
+ * Decision code: no I/O, clock or thread.
  */
 #ifndef RUDDERWAY_CORE_ROUTING_ROUTING_H
 #define RUDDERWAY_CORE_ROUTING_ROUTING_H
@@ -21,11 +23,11 @@
 } routing_policy_t;
 
 enum {
-    PREFIX_BLOCK_BYTES = 512, /**< Prompt text that one block hash covers. */
+    PREFIX_BLOCK_BYTES = 512, /**< Prompt text covered by one block hash. */
     PREFIX_BLOCKS_MAXIMUM = 2048,
 };
 
-/** Chained hashes of a prompt's blocks: block i's hash covers blocks 0 to i. */
+/** Chained hashes of a prompt's blocks: hash i covers blocks 0 to i. */
 typedef struct {
     uint32_t count;
     uint64_t hashes[PREFIX_BLOCKS_MAXIMUM];
@@ -33,11 +35,11 @@
 
 typedef struct {
     backend_kind_t kind;
-    const char *offers;     /**< Model or service. */
-    const char *program;    /**< For the sticky baseline; may be NULL. */
+    const char *offers;     /**< Name of the model or service. */
+    const char *program;    /**< For POLICY_STICKY; may be NULL. */
     const char *zone;       /**< Of this node. */
     const prefix_t *prefix; /**< NULL for services. */
-    const char *avoid;      /**< A back end that just failed, or NULL. */
+    const char *avoid;      /**< Name of a back end that just failed, or NULL. */
 } routing_request_t;
 
 typedef struct {
@@ -45,7 +47,7 @@
     uint64_t round_robin;
 } routing_t;
 
-/** NULL if no available back end offers what is asked. */
+/** NULL if no available back end offers the model or service. */
 backend_t *routing_choose(routing_t *routing, const backend_set_t *set,
                           const routing_request_t *request, int64_t now_ms);
 
@@ -53,9 +55,9 @@
 const char *routing_policy_name(routing_policy_t policy);
 
 void prefix_compute(prefix_t *prefix, const char *text, size_t length);
-/** How many leading blocks @p backend probably caches. */
+/** Number of leading blocks that @p backend probably has cached. */
 uint32_t prefix_cached_blocks(const backend_t *backend, const prefix_t *prefix);
-/** Notes that @p backend has just been sent the prompt. */
+/** Records that the prompt was sent to @p backend. */
 void prefix_note_sent(backend_t *backend, const prefix_t *prefix);
 
 #endif
--- a/src/core/routing/service_choice.c
+++ b/src/core/routing/service_choice.c
@@ -4,57 +4,60 @@
 #include <xxhash.h>
 
 enum {
-    /* Expected delay, in units of 0.1 ms. */
-    AVOIDED_COST = 100000,    /**< Only if there is no other. */
-    DOUBTED_COST = 500,       /**< The same, if so many are that the sign is doubtful. */
-    NEW_CONNECTION_COST = 60, /**< It takes time, and is paid for. */
-    SHARE_COST = 50,
-    QUEUE_COST = 400,
+    /* Costs are expected delays in units of 0.1 ms. */
+    AVOIDED_COST = 100000,         /**< Used only if there is no other candidate. */
+    UNRELIABLE_AVOIDED_COST = 500, /**< If the indication is unreliable. */
+    NEW_CONNECTION_COST = 60,      /**< Setup time, and the cost of a connection. */
+    LOAD_COST = 50,                /**< Of each call in progress. */
+    QUEUE_COST = 400,              /**< Added for each call beyond the slots. */
     TENTHS_PER_MS = 10,
     TYPICAL_PERCENT = 100,
-    AVOIDED_SHARE = 3, /**< The sign is doubtful if more than one in so many are avoided. */
+    AVOIDED_DIVISOR = 3, /**< If more than 1/3 are avoided, the indication is unreliable. */
 };
 
-/** What @p cost, at typical speed, is at the candidate. */
-static int at_speed(const service_candidate_t *candidate, unsigned cost) {
+/** Converts @p cost at typical speed to the candidate's speed. */
+static int scale_to_speed(const service_candidate_t *candidate, unsigned cost) {
     unsigned percent = candidate->speed_percent == 0 ? TYPICAL_PERCENT : candidate->speed_percent;
     return (int)(cost * TYPICAL_PERCENT / percent);
 }
 
-/** Where speeds are measured, as much as all calls that a back end of this zone runs at once. */
-static int far_cost(const service_candidate_t *candidate) {
+/**
+ * Cost of another zone. Where speeds are measured, it exceeds that of a local back end with all
+ * slots but one occupied, so that the local zone is filled first.
+ */
+static int remote_cost(const service_candidate_t *candidate) {
     if (candidate->speed_percent == 0)
-        return SERVICE_FAR_COST;
-    return (int)(candidate->slots * SHARE_COST + NEW_CONNECTION_COST);
+        return SERVICE_REMOTE_COST;
+    return (int)(candidate->slots * LOAD_COST + NEW_CONNECTION_COST);
 }
 
-static unsigned calls_beyond_slots(const service_candidate_t *candidate) {
+static unsigned queued_calls(const service_candidate_t *candidate) {
     return candidate->load >= candidate->slots ? candidate->load - candidate->slots + 1 : 0;
 }
 
 int service_cost(const service_candidate_t *candidate) {
-    unsigned beyond = calls_beyond_slots(candidate);
+    unsigned queued = queued_calls(candidate);
     unsigned answer = candidate->answer_ms * TENTHS_PER_MS;
-    int cost = at_speed(candidate, candidate->load * SHARE_COST + beyond * QUEUE_COST);
-    cost += at_speed(candidate, answer) - (int)answer;
+    int cost = scale_to_speed(candidate, candidate->load * LOAD_COST + queued * QUEUE_COST);
+    cost += scale_to_speed(candidate, answer) - (int)answer;
     if (!candidate->connected)
         cost += NEW_CONNECTION_COST;
     if (!candidate->near)
-        cost += far_cost(candidate);
+        cost += remote_cost(candidate);
     return cost;
 }
 
 bool service_stays_near(const service_candidate_t *candidate) {
     if (candidate->speed_percent == 0)
-        return service_cost(candidate) <= SERVICE_FAR_COST;
-    return calls_beyond_slots(candidate) == 0;
+        return service_cost(candidate) <= SERVICE_REMOTE_COST;
+    return queued_calls(candidate) == 0;
 }
 
 static int avoided_cost(const service_candidate_t *candidates, unsigned count) {
     unsigned avoided = 0;
     for (unsigned i = 0; i < count; i++)
         avoided += candidates[i].avoided;
-    return avoided * AVOIDED_SHARE > count ? DOUBTED_COST : AVOIDED_COST;
+    return avoided * AVOIDED_DIVISOR > count ? UNRELIABLE_AVOIDED_COST : AVOIDED_COST;
 }
 
 bool service_choose(const service_candidate_t *candidates, unsigned count, uint64_t seed,
--- a/src/core/routing/service_choice.h
+++ b/src/core/routing/service_choice.h
@@ -1,21 +1,17 @@
 /**
  * @file service_choice.h
- * At which of a service's back ends a call runs.
+ * Chooses the back end of a service for a call.
  *
- * Each has an expected delay, and the least wins: calls under way add to it, and much more so
- * beyond the back end's slots; a new connection takes time and is paid for; another zone is farther
- * away. One that is avoided (slow to answer, or it seems to be down) is taken only if there is no
- * other, unless so many are avoided that the sign is doubtful.
+ * The candidate with the lowest expected delay wins. Calls in progress add to the delay, and much
+ * more so beyond the back end's slots; so do a new connection and another zone. An avoided back end
+ * (slow to respond or probably down) is used only if there is no other, unless so many are avoided
+ * that the indication is unreliable.
  *
- * Where speeds are measured, calls under way and the call itself count as longer at a slow back
- * end, and another zone is only used when a call would queue in this one: so calls follow what
- * back ends can do, and bytes between zones are spent only when that saves a wait.
+ * Where speeds are measured, delays scale with the back end's speed, and another zone is used only
+ * when the call would be queued in the local one, which keeps traffic between zones low.
  *
- * Of equals each gateway has an order of its own, by a hash of gateway and back end. With one order
- * for all, 145 gateways of a zone, which hear of one another's calls only after these have ended,
- * sent all to one back end: on a model of 120 calls a second of 70 ms each at 555 back ends with 6
- * slots, 0.76 of the calls found the slots taken; with orders of their own none did, over as many
- * connections (tests/unit/service_choice_test.cc).
+ * Ties are broken by a hash of gateway and back end. With the same order at all gateways, which
+ * learn of each other's calls late, all would send to the same back end.
  *
  * Decision code: no I/O, clock or thread.
  */
@@ -25,35 +21,35 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** One back end that could run the call. */
+/** A back end that can run the call. */
 typedef struct {
     uint64_t id;   /**< Hash of its instance. */
-    unsigned load; /**< Calls under way there, of all gateways as far as known. */
+    unsigned load; /**< Calls in progress from all gateways, as far as known. */
     unsigned slots;
-    bool connected; /**< A kept connection is free. */
-    bool near;      /**< In this gateway's zone. */
+    bool connected; /**< An idle connection is open. */
+    bool near;      /**< In the gateway's zone. */
     bool avoided;
     unsigned speed_percent; /**< Of the service's typical speed; 0: speeds are not measured. */
-    unsigned answer_ms;     /**< Usual time of the service's answers; 0: unknown. */
+    unsigned answer_ms;     /**< Typical response time of the service; 0: unknown. */
 } service_candidate_t;
 
-/** What a back end of another zone costs more, as service_cost; a nearer one below it is better. */
-enum { SERVICE_FAR_COST = 80 };
+/** Cost of a back end in another zone where speeds are not measured, in units of service_cost. */
+enum { SERVICE_REMOTE_COST = 80 };
 
 /**
- * Expected delay at a back end that is not avoided, in units of 0.1 ms, against an idle one of
- * typical speed of this zone; less than 0 at a faster one.
+ * Expected delay at a back end that is not avoided, in units of 0.1 ms, relative to an idle back
+ * end of typical speed in the local zone; negative for a faster one.
  */
 int service_cost(const service_candidate_t *candidate);
 /**
- * True if no back end of another zone is worth it when @p candidate is the best of this zone. Where
- * speeds are measured, that is as long as it has a free slot.
+ * True if no back end of another zone can be better than @p candidate, the best one of the local
+ * zone. Where speeds are measured, that is while it has a free slot.
  */
 bool service_stays_near(const service_candidate_t *candidate);
 
 /**
- * Chooses among @p count candidates: @p chosen is the index. False if there is none.
- * @param seed The gateway's own; gives its order of equals.
+ * Sets @p chosen to the index of the best candidate. False if there is none.
+ * @param seed Of this gateway; breaks ties.
  */
 bool service_choose(const service_candidate_t *candidates, unsigned count, uint64_t seed,
                     unsigned *chosen);
