--- a/tests/unit/backend_speed_test.cc
+++ b/tests/unit/backend_speed_test.cc
@@ -1,8 +1,4 @@
-// How fast back ends are, by what gateways measured; and what callers get when a third of the back
-// ends of a service work at 0.4 of the speed of the others.
-//
-// The load that is played: 4 gateways and 18 plain back ends of 6 slots, 6 of them at 0.4 of the
-// speed; 900 calls a second of 60 ms at typical speed. Figures stand beside each test.
+// Tests of back end speed estimates, and of service calls distributed by them.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,68 +15,69 @@
 
 constexpr uint64_t now = 1000000;
 
-backend_pace_t pace_of(std::initializer_list<uint32_t> works, uint64_t at = now) {
+backend_pace_t estimate_of(std::initializer_list<uint32_t> works_us, uint64_t at = now) {
     backend_samples_t samples = {};
-    for (uint32_t work : works)
+    for (uint32_t work : works_us)
         backend_samples_note(&samples, work, at);
     return backend_samples_pace(&samples);
 }
 
-/** Of samples that differ by @p share of their mean. */
-recent_times_t spread_of(double share) {
+/** Spread of samples that differ by @p fraction of their mean. */
+recent_times_t spread_of(double fraction) {
     recent_times_t spread = {};
     for (unsigned i = 0; i < 10; i++)
-        work_spread_note(&spread, static_cast<uint32_t>(1000 * (1 + share / 2)),
-                         static_cast<uint32_t>(1000 * (1 - share / 2)));
+        work_spread_note(&spread, static_cast<uint32_t>(1000 * (1 + fraction / 2)),
+                         static_cast<uint32_t>(1000 * (1 - fraction / 2)));
     return spread;
 }
 
-unsigned percent_of(const backend_pace_t &pace, std::vector<uint32_t> service, uint64_t at = now) {
+unsigned percent_of(const backend_pace_t &estimate, std::vector<uint32_t> service,
+                    uint64_t at = now) {
     auto count = static_cast<unsigned>(service.size());
     recent_times_t spread = spread_of(0.1);
-    return backend_speed_percent(&pace, backend_speed_typical_us(service.data(), count), &spread,
-                                 at);
+    return backend_speed_percent(&estimate, backend_speed_typical_us(service.data(), count),
+                                 &spread, at);
 }
 
-backend_pace_t join(const std::vector<backend_pace_t> &paces, uint64_t at = now) {
-    return backend_pace_join(paces.data(), static_cast<unsigned>(paces.size()), at);
+backend_pace_t merge(const std::vector<backend_pace_t> &estimates, uint64_t at = now) {
+    return backend_pace_join(estimates.data(), static_cast<unsigned>(estimates.size()), at);
 }
 
-TEST(BackendSpeed, IsTypicalWhileTooLittleIsKnown) {
+TEST(BackendSpeed, SpeedIsTypicalWithTooFewSamples) {
     backend_pace_t none = {};
     EXPECT_EQ(percent_of(none, {100, 100, 100}), 100U);
-    EXPECT_EQ(percent_of(pace_of({400, 400}), {100, 100, 100}), 100U) << "two samples";
-    EXPECT_EQ(percent_of(pace_of({400, 400, 400, 400}), {100, 100}), 100U) << "two back ends";
-    EXPECT_EQ(percent_of(pace_of({250, 250, 250, 250}), {100, 100, 100}), 40U);
+    EXPECT_EQ(percent_of(estimate_of({400, 400}), {100, 100, 100}), 100U) << "two samples";
+    EXPECT_EQ(percent_of(estimate_of({400, 400, 400, 400}), {100, 100}), 100U) << "two back ends";
+    EXPECT_EQ(percent_of(estimate_of({250, 250, 250, 250}), {100, 100, 100}), 40U);
 }
 
-TEST(BackendSpeed, IsBounded) {
-    EXPECT_EQ(percent_of(pace_of({9000, 9000, 9000, 9000}), {100, 100, 100}), 25U);
-    EXPECT_EQ(percent_of(pace_of({1, 1, 1, 1}), {100, 100, 100}), 400U);
+TEST(BackendSpeed, SpeedIsClamped) {
+    EXPECT_EQ(percent_of(estimate_of({9000, 9000, 9000, 9000}), {100, 100, 100}), 25U);
+    EXPECT_EQ(percent_of(estimate_of({1, 1, 1, 1}), {100, 100, 100}), 400U);
 }
 
-TEST(BackendSpeed, OutliersMoveNothing) {
-    EXPECT_EQ(pace_of({100, 100, 100, 100, 100, 90000, 90000, 90000}).work_us, 100U);
-    EXPECT_EQ(percent_of(pace_of({100, 100, 100, 90000, 90000}), {100, 100, 100}), 100U);
+TEST(BackendSpeed, OutliersDoNotChangeTheSpeed) {
+    EXPECT_EQ(estimate_of({100, 100, 100, 100, 100, 90000, 90000, 90000}).work_us, 100U);
+    EXPECT_EQ(percent_of(estimate_of({100, 100, 100, 90000, 90000}), {100, 100, 100}), 100U);
 }
 
-TEST(BackendSpeed, OneHungBackEndDoesNotMoveWhatIsTypical) {
-    EXPECT_EQ(percent_of(pace_of({100, 100, 100, 100}), {100, 100, 100, 5000000}), 100U);
+TEST(BackendSpeed, AHungBackEndDoesNotChangeTheTypicalSpeed) {
+    EXPECT_EQ(percent_of(estimate_of({100, 100, 100, 100}), {100, 100, 100, 5000000}), 100U);
 }
 
-// Times that differ by as much as themselves: what eight samples of a back end show may be chance.
-TEST(BackendSpeed, WhatChanceExplainsIsTypical) {
-    recent_times_t wide = spread_of(1);
-    backend_pace_t few = pace_of({180, 180, 180, 180, 180, 180, 180, 180});
-    EXPECT_EQ(backend_speed_percent(&few, 100, &wide, now), 100U);
-    backend_pace_t many = {180, 90, now};
-    EXPECT_EQ(backend_speed_percent(&many, 100, &wide, now), 55U);
+// Guards against a speed derived from the random variation of a few samples.
+TEST(BackendSpeed, InsignificantDifferencesAreIgnored) {
+    recent_times_t wide_spread = spread_of(1);
+    backend_pace_t few_samples = estimate_of({180, 180, 180, 180, 180, 180, 180, 180});
+    EXPECT_EQ(backend_speed_percent(&few_samples, 100, &wide_spread, now), 100U);
+    backend_pace_t many_samples = {180, 90, now};
+    EXPECT_EQ(backend_speed_percent(&many_samples, 100, &wide_spread, now), 55U);
     recent_times_t unknown = {};
-    EXPECT_EQ(backend_speed_percent(&few, 100, &unknown, now), 100U);
+    EXPECT_EQ(backend_speed_percent(&few_samples, 100, &unknown, now), 100U);
 }
 
-// Loads and times that have nothing to do with one another, as of plain calls of all lengths.
-TEST(BackendSpeed, ChanceIsNotTakenForASlowdown) {
+// Guards against a slowdown fitted to samples whose times are independent of the load.
+TEST(BackendSpeed, UncorrelatedLoadsGiveNoSlowdown) {
     std::mt19937 random(2);
     std::exponential_distribution<double> length(1.0 / 1000);
     for (unsigned round = 0; round < 50; round++) {
@@ -95,30 +92,30 @@
     }
 }
 
-// A gateway short of processor time reads its answers late: all that it tells is 20 times too long.
-TEST(BackendSpeed, OneOutlierAmongGatewaysMovesNothing) {
-    backend_pace_t sound = pace_of({100, 100, 100});
-    backend_pace_t outlier = pace_of({2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000});
-    backend_pace_t joined = join({sound, outlier, sound, sound});
-    EXPECT_EQ(joined.work_us, 100U);
+// Guards against a gateway without enough processor time, whose samples are all far too long.
+TEST(BackendSpeed, OneOutlierAmongGatewaysIsIgnored) {
+    backend_pace_t accurate = estimate_of({100, 100, 100});
+    backend_pace_t outlier = estimate_of({2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000});
+    backend_pace_t merged = merge({accurate, outlier, accurate, accurate});
+    EXPECT_EQ(merged.work_us, 100U);
 }
 
-TEST(BackendSpeed, FadesToTypical) {
-    backend_pace_t slow = pace_of({250, 250, 250, 250, 250, 250, 250, 250});
+TEST(BackendSpeed, OldEstimatesExpire) {
+    backend_pace_t slow = estimate_of({250, 250, 250, 250, 250, 250, 250, 250});
     std::vector<uint32_t> service = {100, 100, 100};
-    backend_pace_t soon = join({slow}, now + PACE_HALF_LIFE_MS);
-    EXPECT_EQ(percent_of(soon, service, now + PACE_HALF_LIFE_MS), 40U);
-    backend_pace_t late = join({slow}, now + 2 * PACE_HALF_LIFE_MS);
-    EXPECT_EQ(percent_of(late, service, now + 2 * PACE_HALF_LIFE_MS), 100U);
-    EXPECT_EQ(join({slow}, now + PACE_FORGET_MS).samples, 0U);
-    backend_pace_t fresh = pace_of({100, 100, 100, 100}, now + PACE_HALF_LIFE_MS);
-    EXPECT_EQ(join({slow, fresh, fresh}, now + PACE_HALF_LIFE_MS).work_us, 100U);
+    backend_pace_t one_half_life = merge({slow}, now + PACE_HALF_LIFE_MS);
+    EXPECT_EQ(percent_of(one_half_life, service, now + PACE_HALF_LIFE_MS), 40U);
+    backend_pace_t two_half_lives = merge({slow}, now + 2 * PACE_HALF_LIFE_MS);
+    EXPECT_EQ(percent_of(two_half_lives, service, now + 2 * PACE_HALF_LIFE_MS), 100U);
+    EXPECT_EQ(merge({slow}, now + PACE_FORGET_MS).samples, 0U);
+    backend_pace_t fresh = estimate_of({100, 100, 100, 100}, now + PACE_HALF_LIFE_MS);
+    EXPECT_EQ(merge({slow, fresh, fresh}, now + PACE_HALF_LIFE_MS).work_us, 100U);
 }
 
-// An engine's token takes 3 ms alone and a tenth more with each other request.
-TEST(BackendSpeed, WhatOtherCallsCostIsLearnedAndRemoved) {
+// Each concurrent request adds a tenth to the time of a unit of work.
+TEST(BackendSpeed, TheSlowdownByConcurrentCallsIsEstimatedAndRemoved) {
     work_slowdown_t slowdown = {};
-    EXPECT_EQ(work_slowdown_remove(&slowdown, 3000, 7), 3000U) << "nothing is known yet";
+    EXPECT_EQ(work_slowdown_remove(&slowdown, 3000, 7), 3000U) << "no samples yet";
     std::mt19937 random(1);
     auto work = [&random](double alone, unsigned load) {
         std::uniform_real_distribution<double> noise(0.95, 1.05);
@@ -135,10 +132,9 @@
     EXPECT_NEAR(work_slowdown_remove(&slowdown, 7500 * 17 / 10, 7), 7500, 900);
 }
 
-// 52 gateways, each with ten samples of 44 engines in all their time: one in four engines isn't
-// seen at all by a gateway. The engines' speeds are 0.7, 0.7 and 1.7 times the usual time, each
-// sample is off by up to 30 percent, and one in twelve is five times too long.
-TEST(BackendSpeed, FiftyTwoGatewaysWithTenSamplesEachTellASlowEngine) {
+// Guards against wrong speeds when each gateway has few samples of only some of the engines, with
+// noise of up to 30 percent and one outlier in twelve.
+TEST(BackendSpeed, FewNoisySamplesFromManyGatewaysIdentifySlowEngines) {
     constexpr unsigned engines = 44;
     constexpr unsigned gateways = 52;
     std::mt19937 random(5);
@@ -153,43 +149,44 @@
             auto work = static_cast<uint32_t>(3000 * factor * noise(random) * outlier);
             backend_samples_note(&gateway[engine], work, now);
         }
-    std::vector<uint32_t> works;
-    std::vector<backend_pace_t> joined;
+    std::vector<uint32_t> works_us;
+    std::vector<backend_pace_t> merged;
     for (unsigned engine = 0; engine < engines; engine++) {
-        std::vector<backend_pace_t> told;
-        for (unsigned i = 0; i < gateways && told.size() < BACKEND_TELLERS_MOST; i++)
+        std::vector<backend_pace_t> reported;
+        for (unsigned i = 0; i < gateways && reported.size() < BACKEND_TELLERS_MOST; i++)
             if (seen[i][engine].noted > 0)
-                told.push_back(backend_samples_pace(&seen[i][engine]));
-        joined.push_back(join(told));
-        if (backend_pace_known(&joined.back(), now))
-            works.push_back(joined.back().work_us);
+                reported.push_back(backend_samples_pace(&seen[i][engine]));
+        merged.push_back(merge(reported));
+        if (backend_pace_known(&merged.back(), now))
+            works_us.push_back(merged.back().work_us);
     }
-    EXPECT_GE(works.size(), engines * 9 / 10);
-    uint32_t typical = backend_speed_typical_us(works.data(), static_cast<unsigned>(works.size()));
+    EXPECT_GE(works_us.size(), engines * 9 / 10);
+    uint32_t typical =
+        backend_speed_typical_us(works_us.data(), static_cast<unsigned>(works_us.size()));
     unsigned wrong = 0;
     recent_times_t spread = spread_of(0.2);
     for (unsigned engine = 0; engine < engines; engine++) {
-        unsigned percent = backend_speed_percent(&joined[engine], typical, &spread, now);
+        unsigned percent = backend_speed_percent(&merged[engine], typical, &spread, now);
         bool slow = engine % 3 == 0;
         wrong += slow ? percent > 60 : percent < 75 || percent > 135;
     }
     EXPECT_LE(wrong, 2U) << "of 44";
 }
 
-/** Plain back ends of two speeds, in virtual time; a call beyond the slots waits for one. */
+/** Back ends of two speeds in virtual time; a call without a free slot is queued. */
 struct Service {
     static constexpr unsigned back_ends = 18;
     static constexpr unsigned slots = 6;
     static constexpr unsigned gateways = 4;
     static constexpr unsigned calls = 20000;
-    static constexpr double calls_a_ms = 0.9;
+    static constexpr double calls_per_ms = 0.9;
     static constexpr double call_ms = 60;
 
     struct Call {
         double ends;
         unsigned gateway;
         unsigned back_end;
-        double begun;
+        double started;
         bool operator>(const Call &other) const {
             return ends > other.ends;
         }
@@ -199,53 +196,53 @@
     }
 
     std::vector<double> times;
-    unsigned at_slow = 0;
+    unsigned calls_at_slow = 0;
     unsigned queued = 0;
     std::vector<unsigned> percents = std::vector<unsigned>(back_ends);
 
-    void play(bool by_speed) {
+    void run(bool by_speed) {
         std::mt19937 random(11);
-        std::exponential_distribution<double> pause(calls_a_ms);
+        std::exponential_distribution<double> interval(calls_per_ms);
         std::uniform_real_distribution<double> length(0.7 * call_ms, 1.3 * call_ms);
         std::vector<unsigned> load(back_ends);
         std::vector<std::vector<double>> free_at(back_ends, std::vector<double>(slots));
         std::vector<std::vector<unsigned>> idle(gateways, std::vector<unsigned>(back_ends));
         std::vector<std::vector<backend_samples_t>> samples(
             gateways, std::vector<backend_samples_t>(back_ends, backend_samples_t{}));
-        std::priority_queue<Call, std::vector<Call>, std::greater<Call>> under_way;
+        std::priority_queue<Call, std::vector<Call>, std::greater<Call>> in_progress;
         double time = 1;
-        double shared_at = 0;
+        double exchanged_at = 0;
         for (unsigned i = 0; i < calls; i++) {
-            time += pause(random);
-            for (; !under_way.empty() && under_way.top().ends <= time; under_way.pop()) {
-                const Call &call = under_way.top();
+            time += interval(random);
+            for (; !in_progress.empty() && in_progress.top().ends <= time; in_progress.pop()) {
+                const Call &call = in_progress.top();
                 load[call.back_end]--;
                 idle[call.gateway][call.back_end]++;
-                auto us = static_cast<uint32_t>(1000 * (call.ends - call.begun) / call_ms);
+                auto us = static_cast<uint32_t>(1000 * (call.ends - call.started) / call_ms);
                 backend_samples_note(&samples[call.gateway][call.back_end], us,
                                      static_cast<uint64_t>(call.ends));
             }
-            if (time > shared_at + 500) {
-                shared_at = time;
-                share(samples, static_cast<uint64_t>(time));
+            if (time > exchanged_at + 500) {
+                exchanged_at = time;
+                exchange_estimates(samples, static_cast<uint64_t>(time));
             }
             unsigned gateway = static_cast<unsigned>(random()) % gateways;
             unsigned chosen = choose(load, idle[gateway], gateway, by_speed);
-            unsigned &kept = idle[gateway][chosen];
-            kept -= kept > 0 ? 1 : 0;
+            unsigned &idle_connections = idle[gateway][chosen];
+            idle_connections -= idle_connections > 0 ? 1 : 0;
             load[chosen]++;
             double &slot = *std::min_element(free_at[chosen].begin(), free_at[chosen].end());
-            double begun = std::max(time, slot);
-            slot = begun + length(random) / (slow(chosen) ? 0.4 : 1);
-            under_way.push({slot, gateway, chosen, time});
-            queued += begun > time;
-            at_slow += slow(chosen);
+            double started = std::max(time, slot);
+            slot = started + length(random) / (slow(chosen) ? 0.4 : 1);
+            in_progress.push({slot, gateway, chosen, time});
+            queued += started > time;
+            calls_at_slow += slow(chosen);
             times.push_back(slot - time);
         }
         std::sort(times.begin(), times.end());
     }
-    double percentile(double share) const {
-        return times[static_cast<size_t>(share * static_cast<double>(times.size() - 1))];
+    double percentile(double fraction) const {
+        return times[static_cast<size_t>(fraction * static_cast<double>(times.size() - 1))];
     }
     double mean() const {
         double sum = 0;
@@ -255,22 +252,23 @@
     }
 
   private:
-    void share(const std::vector<std::vector<backend_samples_t>> &samples, uint64_t at) {
-        std::vector<backend_pace_t> joined;
-        std::vector<uint32_t> works;
+    void exchange_estimates(const std::vector<std::vector<backend_samples_t>> &samples,
+                            uint64_t at) {
+        std::vector<backend_pace_t> merged;
+        std::vector<uint32_t> works_us;
         for (unsigned i = 0; i < back_ends; i++) {
-            std::vector<backend_pace_t> told;
+            std::vector<backend_pace_t> reported;
             for (unsigned j = 0; j < gateways; j++)
-                told.push_back(backend_samples_pace(&samples[j][i]));
-            joined.push_back(join(told, at));
-            if (backend_pace_known(&joined.back(), at))
-                works.push_back(joined.back().work_us);
+                reported.push_back(backend_samples_pace(&samples[j][i]));
+            merged.push_back(merge(reported, at));
+            if (backend_pace_known(&merged.back(), at))
+                works_us.push_back(merged.back().work_us);
         }
         uint32_t typical =
-            backend_speed_typical_us(works.data(), static_cast<unsigned>(works.size()));
+            backend_speed_typical_us(works_us.data(), static_cast<unsigned>(works_us.size()));
         recent_times_t spread = spread_of(0.2);
         for (unsigned i = 0; i < back_ends; i++)
-            percents[i] = backend_speed_percent(&joined[i], typical, &spread, at);
+            percents[i] = backend_speed_percent(&merged[i], typical, &spread, at);
     }
     unsigned choose(const std::vector<unsigned> &load, const std::vector<unsigned> &idle,
                     unsigned gateway, bool by_speed) const {
@@ -292,28 +290,27 @@
     }
 };
 
-TEST(BackendSpeed, AThirdOfTheBackEndsAtTwoFifthsOfTheSpeed) {
-    Service counts;
-    counts.play(false);
-    Service speeds;
-    speeds.play(true);
-    for (const Service *service : {&counts, &speeds})
-        printf("%s: at the slow third %.2f, queued %u of %u, mean %.0f ms, median %.0f, p95 %.0f\n",
-               service == &counts ? "by counts" : "by speeds",
-               service->at_slow / double{Service::calls}, service->queued, Service::calls,
+TEST(BackendSpeed, SlowBackEndsGetFewerCallsAndLatencyDrops) {
+    Service by_load;
+    by_load.run(false);
+    Service by_measured_speed;
+    by_measured_speed.run(true);
+    for (const Service *service : {&by_load, &by_measured_speed})
+        printf("%s: at slow back ends %.2f, queued %u of %u, mean %.0f ms, median %.0f, p95 %.0f\n",
+               service == &by_load ? "by load" : "by measured speed",
+               service->calls_at_slow / double{Service::calls}, service->queued, Service::calls,
                service->mean(), service->percentile(0.5), service->percentile(0.95));
     for (unsigned i = 0; i < Service::back_ends; i++) {
-        EXPECT_GE(speeds.percents[i], Service::slow(i) ? 30U : 75U) << i;
-        EXPECT_LE(speeds.percents[i], Service::slow(i) ? 60U : 135U) << i;
+        EXPECT_GE(by_measured_speed.percents[i], Service::slow(i) ? 30U : 75U) << i;
+        EXPECT_LE(by_measured_speed.percents[i], Service::slow(i) ? 60U : 135U) << i;
     }
-    EXPECT_LT(speeds.at_slow, counts.at_slow / 2);
-    EXPECT_LT(speeds.mean(), 0.9 * counts.mean());
-    EXPECT_LT(speeds.percentile(0.95), counts.percentile(0.95));
+    EXPECT_LT(by_measured_speed.calls_at_slow, by_load.calls_at_slow / 2);
+    EXPECT_LT(by_measured_speed.mean(), 0.9 * by_load.mean());
+    EXPECT_LT(by_measured_speed.percentile(0.95), by_load.percentile(0.95));
 }
 
-// A service of two million back ends: sorting by insertion took 49 ms of processor for 10,000 and
-// grew with the square, so this one would not end within the time that a test is given.
-TEST(BackendSpeed, TheTypicalOneOfMillionsIsFound) {
+// Guards against a sort in quadratic time, which would exceed the test timeout.
+TEST(BackendSpeed, TheTypicalSpeedOfMillionsOfBackEndsIsFound) {
     constexpr unsigned count = 2000000;
     std::vector<uint32_t> works_us(count);
     for (unsigned i = 0; i < count; i++)
--- a/tests/unit/engine_choice_test.cc
+++ b/tests/unit/engine_choice_test.cc
@@ -1,4 +1,4 @@
-/** Where turns of programs run: core/routing/engine_choice.h and store/program_places.h. */
+/** Tests of engine selection by load and cache affinity, and of the program-to-engine map. */
 #include <gtest/gtest.h>
 
 #include <set>
@@ -15,7 +15,7 @@
 
 class EngineChoice : public testing::Test {
   protected:
-    /** Engines with ids 1, 2, ..., all near and idle. */
+    /** Adds idle engines in the local zone with ids from 1. */
     void make(unsigned count) {
         for (unsigned i = 1; i <= count; i++)
             engines.push_back({i, 0, SLOTS, true, false, false});
@@ -23,7 +23,7 @@
     engine_candidate_t &engine(uint64_t id) {
         return engines[id - 1];
     }
-    /** Id of the chosen engine; 0: none. */
+    /** Returns the id of the chosen engine; 0: none. */
     uint64_t choose(uint64_t place, uint64_t part) {
         engine_request_t request = {place, part};
         unsigned chosen = 0;
@@ -33,7 +33,7 @@
     std::vector<engine_candidate_t> engines;
 };
 
-TEST_F(EngineChoice, NoneOfNone) {
+TEST_F(EngineChoice, NoEngineIsFoundWithoutCandidates) {
     EXPECT_EQ(choose(0, 7), 0u);
 }
 
@@ -44,31 +44,31 @@
             EXPECT_EQ(choose(place, part), place);
 }
 
-TEST_F(EngineChoice, AFullEngineIsNotLeftForOnesThatAreBusyToo) {
+TEST_F(EngineChoice, AProgramStaysIfTheOtherEnginesAreMoreThanHalfFull) {
     make(3);
     engine(1).load = 2 * SLOTS;
     engine(2).load = engine(3).load = SLOTS * 6 / 10;
     EXPECT_EQ(choose(1, 7), 1u);
 }
 
-TEST_F(EngineChoice, ALongQueueIsLeftForAnEngineThatIsHalfFull) {
+TEST_F(EngineChoice, AProgramLeavesALongQueueForAHalfFullEngine) {
     make(3);
     engine(1).load = 2 * SLOTS;
     engine(2).load = SLOTS;
     engine(3).load = SLOTS / 2;
     EXPECT_EQ(choose(1, 7), 3u);
     engine(1).load = SLOTS;
-    EXPECT_EQ(choose(1, 7), 1u) << "a short queue is not left";
+    EXPECT_EQ(choose(1, 7), 1u) << "the engine is not overloaded";
 }
 
-TEST_F(EngineChoice, ADeadEngineIsLeft) {
+TEST_F(EngineChoice, AProgramLeavesAnEngineThatIsDown) {
     make(4);
     engine(2).avoided = engine(2).down = true;
     EXPECT_NE(choose(2, 7), 2u);
     EXPECT_NE(choose(2, 7), 0u);
 }
 
-TEST_F(EngineChoice, AnEngineThatFailedLatelyKeepsItsProgramsAndGetsNoNewOnes) {
+TEST_F(EngineChoice, AnEngineThatFailedRecentlyKeepsItsProgramsAndGetsNoNewOnes) {
     make(4);
     engine(2).avoided = true;
     for (uint64_t part = 1; part <= 50; part++) {
@@ -84,7 +84,7 @@
     EXPECT_EQ(choose(0, 7), first);
 }
 
-TEST_F(EngineChoice, APartSpreadsAsItsLoadGrows) {
+TEST_F(EngineChoice, APartUsesMoreEnginesAsItsLoadGrows) {
     make(8);
     std::set<uint64_t> used;
     for (int i = 0; i < 40; i++) {
@@ -97,7 +97,7 @@
         EXPECT_LE(candidate.load, 40u / 8 + 2) << "none is far above the mean of 5";
 }
 
-TEST_F(EngineChoice, PartsAreDealtOverEngines) {
+TEST_F(EngineChoice, PartsAreDistributedOverAllEngines) {
     make(8);
     std::set<uint64_t> used;
     for (uint64_t part = 1; part <= 100; part++)
@@ -105,7 +105,7 @@
     EXPECT_EQ(used.size(), 8u);
 }
 
-TEST_F(EngineChoice, AnotherZoneOnlyIfNoneOfThisOneWillDo) {
+TEST_F(EngineChoice, AnotherZoneIsUsedOnlyWithoutEnginesInTheLocalZone) {
     make(4);
     engine(1).near = engine(2).near = false;
     for (uint64_t part = 1; part <= 20; part++)
@@ -114,7 +114,7 @@
     EXPECT_NE(choose(0, 7), 0u);
 }
 
-TEST_F(EngineChoice, ASignThatMostShowIsNotTrusted) {
+TEST_F(EngineChoice, AvoidanceIsIgnoredIfMostEnginesAreAvoided) {
     make(4);
     for (uint64_t id = 1; id <= 3; id++)
         engine(id).avoided = true;
@@ -127,7 +127,7 @@
         EXPECT_NE(choose(0, part), 1u);
 }
 
-TEST(ProgramPlaces, TheLatestPlaceCountsUntilItIsForgotten) {
+TEST(ProgramPlaces, TheLatestPlaceIsReturnedUntilItExpires) {
     program_places_t places;
     program_places_init(&places);
     EXPECT_EQ(program_places_find(&places, "p"), 0u);
--- a/tests/unit/engine_placement_test.cc
+++ b/tests/unit/engine_placement_test.cc
@@ -1,9 +1,9 @@
 /**
- * At which engine a turn runs when engines are full, slow or lost, and what callers get.
+ * Tests of engine placement by cost with full, slow and failed engines.
  *
- * The loads are played in virtual time: 52 gateways in four zones, 36 engines of 6 slots and a
- * queue of 12, programs of 8 turns whose prompts grow. Each gateway knows its own calls at once and
- * those of the others 216 ms late. "Before" is engine_choose, "after" engine_place.
+ * EngineLoad simulates gateways, engines and programs in virtual time and compares engine_place
+ * with engine_choose. A gateway knows its own calls immediately and those of the others
+ * LOAD_LAG_MS later.
  */
 #include <gtest/gtest.h>
 
@@ -28,24 +28,24 @@
 constexpr unsigned ENGINES = 36;
 constexpr unsigned SLOTS = 6;
 constexpr unsigned QUEUE = 12;
-constexpr double LATE_MS = 216;
-constexpr double SNAPSHOT_MS = 54;
+constexpr double LOAD_LAG_MS = 216;
+constexpr double SNAPSHOT_INTERVAL_MS = 54;
 constexpr double TURN_MS = 60;
 constexpr double TOKENS_PER_MS = 100;
 constexpr unsigned TURNS = 8;
 constexpr uint32_t PART_TOKENS = 500;
 constexpr uint32_t NEW_TOKENS = 400;
 constexpr double THINK_MS = 60;
-constexpr double COME_BACK_MS = 150;
+constexpr double RETRY_AFTER_MS = 150;
 
-enum class Way { BEFORE, AFTER };
+enum class Policy { BY_LOAD, BY_COST };
 
 struct Program {
     unsigned turns_left = TURNS;
     uint32_t held_tokens = 0;
     uint64_t place = 0;
     uint64_t part = 0;
-    bool came_back = false;
+    bool retried = false;
 };
 
 struct Turn {
@@ -53,18 +53,18 @@
     unsigned gateway;
     unsigned engine;
     unsigned known_load;
-    double asked_at;
+    double submitted_at;
 };
 
-struct Figures {
+struct Results {
     unsigned turns = 0;
-    unsigned refused = 0;   /**< Turned away by an engine. */
-    unsigned not_sent = 0;  /**< Refused before the send. */
-    unsigned ended = 0;     /**< Programs that ended by refusals. */
-    unsigned finished = 0;  /**< Programs. */
-    uint64_t again = 0;     /**< Prompt tokens read again. */
-    unsigned most_load = 0; /**< At one engine. */
-    unsigned sent_to_lost = 0;
+    unsigned refused = 0;             /**< By an engine. */
+    unsigned refused_before_send = 0; /**< By the gateway. */
+    unsigned abandoned = 0;           /**< Programs that gave up after a second refusal. */
+    unsigned finished = 0;            /**< Programs that completed all turns. */
+    uint64_t reread_tokens = 0;       /**< Prompt tokens that another engine has cached. */
+    unsigned max_load = 0;            /**< At one engine. */
+    unsigned sent_to_failed = 0;
     std::vector<double> first_ms;
     double quantile(double share) {
         if (first_ms.empty())
@@ -76,8 +76,8 @@
 
 class Fleet {
   public:
-    explicit Fleet(Way by) : way(by), random(7) {
-        history.assign(static_cast<size_t>(LATE_MS / SNAPSHOT_MS) + 1, own);
+    explicit Fleet(Policy by) : policy(by), random(7) {
+        history.assign(static_cast<size_t>(LOAD_LAG_MS / SNAPSHOT_INTERVAL_MS) + 1, own_loads);
     }
 
     void schedule(double delay, std::function<void()> action) {
@@ -94,33 +94,33 @@
         }
     }
 
-    /** Programs arrive from @p from to @p to at @p per_s, by chance. */
-    void arrive(double from, double to, double per_s) {
+    /** Schedules random arrivals of programs from @p from to @p to at the rate @p per_s. */
+    void add_arrivals(double from, double to, double per_s) {
         std::exponential_distribution<double> gap(per_s / 1000);
         for (double at = from + gap(random); at < to; at += gap(random))
             schedule(at, [this] {
                 programs.emplace_back();
                 programs.back().part = 1 + random() % 6;
-                ask(&programs.back());
+                submit(&programs.back());
             });
     }
 
-    /** Fills an engine with calls that don't end. */
+    /** Fills an engine with calls that never complete. */
     void hang(unsigned engine) {
         running[engine] = SLOTS;
         waiting[engine].resize(QUEUE, Turn{nullptr, 0, engine, 0, 0});
-        own[0][engine] = SLOTS + QUEUE;
+        own_loads[0][engine] = SLOTS + QUEUE;
         for (auto &old : history)
             old[0][engine] = SLOTS + QUEUE;
     }
 
-    void lose(unsigned engine) {
+    void fail(unsigned engine) {
         down[engine] = true;
-        lost[engine] = true;
+        failed[engine] = true;
     }
 
     unsigned speed[ENGINES] = {};
-    Figures figures;
+    Results results;
 
   private:
     struct Event {
@@ -134,13 +134,13 @@
     using Loads = std::vector<std::vector<unsigned>>;
 
     void snapshot() {
-        history.push_back(own);
+        history.push_back(own_loads);
         history.pop_front();
-        schedule(SNAPSHOT_MS, [this] { snapshot(); });
+        schedule(SNAPSHOT_INTERVAL_MS, [this] { snapshot(); });
     }
 
     unsigned known_load(unsigned gateway, unsigned engine) const {
-        unsigned load = own[gateway][engine];
+        unsigned load = own_loads[gateway][engine];
         for (unsigned other = 0; other < GATEWAYS; other++)
             if (other != gateway)
                 load += history.front()[other][engine];
@@ -151,25 +151,26 @@
         return speed[engine] == 0 ? 100 : speed[engine];
     }
 
-    bool choose_before(const Program &program, unsigned gateway, unsigned *chosen) {
+    bool choose_by_load(const Program &program, unsigned gateway, unsigned *chosen) {
         std::vector<engine_candidate_t> candidates;
         for (unsigned i = 0; i < ENGINES; i++)
             candidates.push_back({i + 1, known_load(gateway, i), SLOTS,
                                   i % ZONES == gateway % ZONES, down[i], down[i]});
         engine_request_t request = {program.place, program.part};
-        /* As a gateway does: its own zone and the program's place, then all. */
-        std::vector<engine_candidate_t> near;
+        /* Like a gateway: the local zone and the program's current engine, then all engines. */
+        std::vector<engine_candidate_t> local_candidates;
         std::vector<unsigned> index;
         for (unsigned i = 0; i < ENGINES; i++)
             if (candidates[i].near || candidates[i].id == program.place) {
-                near.push_back(candidates[i]);
+                local_candidates.push_back(candidates[i]);
                 index.push_back(i);
             }
-        if (engine_choose(near.data(), static_cast<unsigned>(near.size()), &request, chosen)) {
-            const engine_candidate_t &engine = near[*chosen];
-            bool does = engine.id == program.place ? !engine_crowded(&engine) : engine.near;
+        if (engine_choose(local_candidates.data(), static_cast<unsigned>(local_candidates.size()),
+                          &request, chosen)) {
+            const engine_candidate_t &engine = local_candidates[*chosen];
+            bool suffices = engine.id == program.place ? !engine_crowded(&engine) : engine.near;
             *chosen = index[*chosen];
-            if (does)
+            if (suffices)
                 return true;
         }
         return engine_choose(candidates.data(), ENGINES, &request, chosen);
@@ -181,14 +182,14 @@
         unsigned queue = engine_limit_queue(limit, 1, SLOTS);
         auto at = static_cast<uint64_t>(now);
         return {i + 1,
-                {load, SLOTS, queue > 0 ? queue : engine_usual_queue(&usual[gateway], SLOTS),
+                {load, SLOTS, queue > 0 ? queue : engine_usual_queue(&baselines[gateway], SLOTS),
                  percent(i), engine_limit_turns_away(limit, 1, load, at)},
                 i % ZONES == gateway % ZONES,
                 down[i],
                 down[i]};
     }
 
-    placement_t choose_after(const Program &program, unsigned gateway) {
+    placement_t choose_by_cost(const Program &program, unsigned gateway) {
         std::vector<engine_option_t> options;
         placement_request_t request = {};
         request.place = program.place;
@@ -215,18 +216,18 @@
         return placement;
     }
 
-    void ask(Program *program) {
+    void submit(Program *program) {
         unsigned gateway = random() % GATEWAYS;
         unsigned engine = 0;
-        figures.turns++;
+        results.turns++;
         if (program->held_tokens == 0)
             program->held_tokens = PART_TOKENS;
-        if (way == Way::BEFORE) {
-            choose_before(*program, gateway, &engine);
+        if (policy == Policy::BY_LOAD) {
+            choose_by_load(*program, gateway, &engine);
         } else {
-            placement_t placement = choose_after(*program, gateway);
+            placement_t placement = choose_by_cost(*program, gateway);
             if (placement.outcome == PLACEMENT_FULL) {
-                figures.not_sent++;
+                results.refused_before_send++;
                 refuse(program, placement.free_ms);
                 return;
             }
@@ -236,208 +237,192 @@
     }
 
     void refuse(Program *program, double free_ms) {
-        if (program->came_back) {
-            figures.ended++;
+        if (program->retried) {
+            results.abandoned++;
             return;
         }
-        program->came_back = true;
-        double wait = way == Way::BEFORE ? COME_BACK_MS : std::clamp(free_ms, 50.0, 1000.0);
-        schedule(wait, [this, program] { ask(program); });
+        program->retried = true;
+        double wait =
+            policy == Policy::BY_LOAD ? RETRY_AFTER_MS : std::clamp(free_ms, 50.0, 1000.0);
+        schedule(wait, [this, program] { submit(program); });
     }
 
     void send(Program *program, unsigned gateway, unsigned engine) {
-        figures.sent_to_lost += lost[engine];
+        results.sent_to_failed += failed[engine];
         Turn turn = {program, gateway, engine, known_load(gateway, engine), now};
-        own[gateway][engine]++;
-        if (running[engine] < SLOTS && !lost[engine]) {
+        own_loads[gateway][engine]++;
+        if (running[engine] < SLOTS && !failed[engine]) {
             start(turn);
-        } else if (waiting[engine].size() < QUEUE && !lost[engine]) {
+        } else if (waiting[engine].size() < QUEUE && !failed[engine]) {
             waiting[engine].push_back(turn);
         } else {
-            own[gateway][engine]--;
-            figures.refused++;
+            own_loads[gateway][engine]--;
+            results.refused++;
             engine_limit_note_refused(&limits[gateway][engine], 1, turn.known_load, SLOTS,
                                       static_cast<uint64_t>(now));
-            engine_usual_note_refused(&usual[gateway], turn.known_load, SLOTS);
+            engine_usual_note_refused(&baselines[gateway], turn.known_load, SLOTS);
             double free_ms = 0;
-            if (way == Way::AFTER) {
+            if (policy == Policy::BY_COST) {
                 program->place = 0;
-                free_ms = choose_after(*program, gateway).free_ms;
+                free_ms = choose_by_cost(*program, gateway).free_ms;
             }
             refuse(program, free_ms);
         }
         unsigned load = running[engine] + static_cast<unsigned>(waiting[engine].size());
-        figures.most_load = std::max(figures.most_load, load);
+        results.max_load = std::max(results.max_load, load);
     }
 
-    /** One prompt after the other is read at an engine; what runs waits meanwhile. */
+    /** Starts a turn. An engine processes one prompt at a time. */
     void start(const Turn &turn) {
         unsigned engine = turn.engine;
         Program *program = turn.program;
-        bool kept = program->place == engine + 1;
-        uint32_t tokens = NEW_TOKENS + (kept ? 0 : program->held_tokens);
-        figures.again += kept ? 0 : program->held_tokens;
+        bool cached = program->place == engine + 1;
+        uint32_t read_tokens = NEW_TOKENS + (cached ? 0 : program->held_tokens);
+        results.reread_tokens += cached ? 0 : program->held_tokens;
         running[engine]++;
-        double read_ms = tokens / TOKENS_PER_MS * 100 / percent(engine);
+        double read_ms = read_tokens / TOKENS_PER_MS * 100 / percent(engine);
         reading_until[engine] = std::max(now, reading_until[engine]) + read_ms;
-        double first = reading_until[engine] - now;
-        figures.first_ms.push_back(reading_until[engine] - turn.asked_at);
+        double first_event_ms = reading_until[engine] - now;
+        results.first_ms.push_back(reading_until[engine] - turn.submitted_at);
         engine_limit_note_taken(&limits[turn.gateway][engine], 1, turn.known_load);
-        engine_usual_note_taken(&usual[turn.gateway], turn.known_load, SLOTS);
+        engine_usual_note_taken(&baselines[turn.gateway], turn.known_load, SLOTS);
         program->place = engine + 1;
-        schedule(first + TURN_MS * 100 / percent(engine), [this, turn] { finish(turn); });
+        schedule(first_event_ms + TURN_MS * 100 / percent(engine), [this, turn] { finish(turn); });
     }
 
     void finish(const Turn &turn) {
         unsigned engine = turn.engine;
         Program *program = turn.program;
         running[engine]--;
-        own[turn.gateway][engine]--;
+        own_loads[turn.gateway][engine]--;
         program->held_tokens += NEW_TOKENS;
-        program->came_back = false;
-        if (!waiting[engine].empty() && !lost[engine]) {
+        program->retried = false;
+        if (!waiting[engine].empty() && !failed[engine]) {
             Turn next = waiting[engine].front();
             waiting[engine].pop_front();
             start(next);
         }
         if (--program->turns_left == 0)
-            figures.finished++;
+            results.finished++;
         else
-            schedule(THINK_MS, [this, program] { ask(program); });
+            schedule(THINK_MS, [this, program] { submit(program); });
     }
 
-    Way way;
+    Policy policy;
     double now = 0;
     uint64_t sequence = 0;
     std::mt19937_64 random;
     std::priority_queue<Event> events;
     std::deque<Program> programs;
-    Loads own = Loads(GATEWAYS, std::vector<unsigned>(ENGINES));
+    Loads own_loads = Loads(GATEWAYS, std::vector<unsigned>(ENGINES));
     std::deque<Loads> history;
     std::vector<std::vector<engine_limit_t>> limits =
         std::vector<std::vector<engine_limit_t>>(GATEWAYS, std::vector<engine_limit_t>(ENGINES));
-    engine_usual_t usual[GATEWAYS] = {};
+    engine_usual_t baselines[GATEWAYS] = {};
     unsigned running[ENGINES] = {};
     std::deque<Turn> waiting[ENGINES];
     double reading_until[ENGINES] = {};
     bool down[ENGINES] = {};
-    bool lost[ENGINES] = {};
+    bool failed[ENGINES] = {};
 };
 
-void print(const char *name, Figures &figures) {
-    printf("%s: turns %u refused %u not sent %u programs finished %u ended %u; first event %.0f, "
-           "%.0f ms; read again %llu; most load %u; to lost %u\n",
-           name, figures.turns, figures.refused, figures.not_sent, figures.finished, figures.ended,
-           figures.quantile(0.5), figures.quantile(0.95),
-           static_cast<unsigned long long>(figures.again), figures.most_load, figures.sent_to_lost);
+void print(const char *name, Results &results) {
+    printf("%s: turns %u refused %u before send %u programs finished %u abandoned %u; "
+           "first event p50 %.0f, p95 %.0f ms; tokens read again %llu; max load %u; to failed %u\n",
+           name, results.turns, results.refused, results.refused_before_send, results.finished,
+           results.abandoned, results.quantile(0.5), results.quantile(0.95),
+           static_cast<unsigned long long>(results.reread_tokens), results.max_load,
+           results.sent_to_failed);
 }
 
-/** Plays a load both ways. */
-std::pair<Figures, Figures> play(const std::function<void(Fleet &)> &load, double until) {
-    Figures figures[2];
-    for (Way way : {Way::BEFORE, Way::AFTER}) {
-        Fleet fleet(way);
+/** Runs a simulation with both policies. */
+std::pair<Results, Results> compare_policies(const std::function<void(Fleet &)> &load,
+                                             double until) {
+    Results results[2];
+    for (Policy policy : {Policy::BY_LOAD, Policy::BY_COST}) {
+        Fleet fleet(policy);
         load(fleet);
         fleet.run(until);
-        figures[way == Way::AFTER] = fleet.figures;
-        print(way == Way::AFTER ? "after" : "before", figures[way == Way::AFTER]);
+        results[policy == Policy::BY_COST] = fleet.results;
+        print(policy == Policy::BY_COST ? "by cost" : "by load",
+              results[policy == Policy::BY_COST]);
     }
-    return {figures[0], figures[1]};
+    return {results[0], results[1]};
 }
 
-/**
- * 200 programs a second, and 1,200 for 3 s, some three times what the engines make. Before: 10,409
- * turns turned away, 1,063 programs finished, first event after 69 ms (95 of 100: 257), 9,368,500
- * prompt tokens read again. After: 4,703, and 1,722 refused before the send; 2,085; 41 ms (182);
- * 4,475,200.
- */
-TEST(EngineLoad, CrowdAtThreeTimesCapacity) {
-    auto [before, after] = play(
+// Guards against retries and repeated prompt processing that multiply an overload.
+TEST(EngineLoad, OverloadAtThreeTimesCapacity) {
+    auto [by_load, by_cost] = compare_policies(
         [](Fleet &fleet) {
-            fleet.arrive(0, 2000, 200);
-            fleet.arrive(2000, 5000, 1200);
-            fleet.arrive(5000, 8000, 200);
+            fleet.add_arrivals(0, 2000, 200);
+            fleet.add_arrivals(2000, 5000, 1200);
+            fleet.add_arrivals(5000, 8000, 200);
         },
         12000);
-    EXPECT_LT(after.refused, before.refused / 2);
-    EXPECT_GT(after.not_sent, 500U) << "new programs are refused before the send";
-    EXPECT_GT(after.finished, before.finished * 3 / 2);
-    EXPECT_LT(after.again, before.again * 6 / 10);
-    EXPECT_LT(after.quantile(0.95), before.quantile(0.95));
+    EXPECT_LT(by_cost.refused, by_load.refused / 2);
+    EXPECT_GT(by_cost.refused_before_send, 500U) << "new programs are refused by the gateway";
+    EXPECT_GT(by_cost.finished, by_load.finished * 3 / 2);
+    EXPECT_LT(by_cost.reread_tokens, by_load.reread_tokens * 6 / 10);
+    EXPECT_LT(by_cost.quantile(0.95), by_load.quantile(0.95));
 }
 
-/**
- * 200 programs a second; the queues of 8 engines are full of calls that don't end. Before: 313
- * turns turned away, 30 programs ended by it, first event after 17 ms (195), 3,749,500 tokens read
- * again. After: 29, each gateway having to learn it; 1; 4 ms (16); 496,500.
- */
-TEST(EngineLoad, EnginesWithFullQueues) {
-    auto [before, after] = play(
+// Guards against turns sent to engines whose queues stay full.
+TEST(EngineLoad, EnginesWithFullQueuesAreAvoided) {
+    auto [by_load, by_cost] = compare_policies(
         [](Fleet &fleet) {
             for (unsigned engine = 0; engine < 8; engine++)
                 fleet.hang(engine);
-            fleet.arrive(0, 5000, 200);
+            fleet.add_arrivals(0, 5000, 200);
         },
         9000);
-    EXPECT_LT(after.refused, before.refused / 5);
-    EXPECT_GE(after.finished, before.finished);
-    EXPECT_LE(after.ended, 3U);
-    EXPECT_LT(after.quantile(0.95), before.quantile(0.95) / 2);
+    EXPECT_LT(by_cost.refused, by_load.refused / 5);
+    EXPECT_GE(by_cost.finished, by_load.finished);
+    EXPECT_LE(by_cost.abandoned, 3U);
+    EXPECT_LT(by_cost.quantile(0.95), by_load.quantile(0.95) / 2);
 }
 
-/**
- * 250 programs a second; 12 engines have 0.4 of the speed, which is known. Before: 1,865 turns
- * turned away, 389 programs ended by it, first event after 52 ms (339), 7,231,900 tokens read
- * again. After: 0; 0; 8 ms (46); 868,500.
- */
-TEST(EngineLoad, AThirdAtFourTenthsOfTheSpeed) {
-    auto [before, after] = play(
+// Guards against queues at slow engines: a third of them run at 0.4 of the typical speed.
+TEST(EngineLoad, SlowEnginesGetFewerTurns) {
+    auto [by_load, by_cost] = compare_policies(
         [](Fleet &fleet) {
             for (unsigned engine = 0; engine < ENGINES; engine += 3)
                 fleet.speed[engine] = 40;
-            fleet.arrive(0, 6000, 250);
+            fleet.add_arrivals(0, 6000, 250);
         },
         10000);
-    EXPECT_LT(after.refused, before.refused / 20);
-    EXPECT_GT(after.finished, before.finished);
-    EXPECT_LT(after.quantile(0.95), before.quantile(0.95) / 2);
-    EXPECT_LT(after.again, before.again / 2);
+    EXPECT_LT(by_cost.refused, by_load.refused / 20);
+    EXPECT_GT(by_cost.finished, by_load.finished);
+    EXPECT_LT(by_cost.quantile(0.95), by_load.quantile(0.95) / 2);
+    EXPECT_LT(by_cost.reread_tokens, by_load.reread_tokens / 2);
 }
 
-/**
- * 500 programs begin within 200 ms at idle engines, before any gateway has heard of another's
- * calls. Before: 717 turns turned away, 107 programs ended by it, first event after 100 ms (335).
- * After: 0; 0; 26 ms (90).
- */
-TEST(EngineLoad, ManyGatewaysThatKnowTheSameLateDontHerd) {
-    auto [before, after] = play([](Fleet &fleet) { fleet.arrive(0, 200, 2500); }, 4000);
-    EXPECT_EQ(after.refused, 0U);
-    EXPECT_EQ(after.ended, 0U);
-    EXPECT_LT(after.quantile(0.95), before.quantile(0.95) / 2);
+// Guards against herding: a burst arrives before any gateway has updated loads.
+TEST(EngineLoad, GatewaysWithTheSameStaleLoadsDoNotHerd) {
+    auto [by_load, by_cost] =
+        compare_policies([](Fleet &fleet) { fleet.add_arrivals(0, 200, 2500); }, 4000);
+    EXPECT_EQ(by_cost.refused, 0U);
+    EXPECT_EQ(by_cost.abandoned, 0U);
+    EXPECT_LT(by_cost.quantile(0.95), by_load.quantile(0.95) / 2);
 }
 
-/**
- * 220 programs a second; two engines are lost, which all gateways find at once. Nobody is sent
- * there, and what ran there is not herded: before, first event after 4 ms (51), 18 calls at one
- * engine at most, 1,459,100 tokens read again. After: 4 ms (13); 11; 579,900.
- */
-TEST(EngineLoad, AnEngineLost) {
-    auto [before, after] = play(
+// Guards against turns sent to failed engines, and against overload of those that replace them.
+TEST(EngineLoad, FailedEnginesGetNoTurns) {
+    auto [by_load, by_cost] = compare_policies(
         [](Fleet &fleet) {
-            fleet.arrive(0, 5000, 220);
+            fleet.add_arrivals(0, 5000, 220);
             fleet.schedule(2000, [&fleet] {
-                fleet.lose(0);
-                fleet.lose(5);
+                fleet.fail(0);
+                fleet.fail(5);
             });
         },
         9000);
-    EXPECT_EQ(after.sent_to_lost, 0U);
-    EXPECT_EQ(after.refused, 0U);
-    EXPECT_EQ(after.ended, 0U);
-    EXPECT_LT(after.most_load, before.most_load);
+    EXPECT_EQ(by_cost.sent_to_failed, 0U);
+    EXPECT_EQ(by_cost.refused, 0U);
+    EXPECT_EQ(by_cost.abandoned, 0U);
+    EXPECT_LT(by_cost.max_load, by_load.max_load);
 }
 
-// The decision on its own.
+// Single decisions.
 
 constexpr engine_turn_t TURN = {2400, 400, 500, 60, 100};
 
@@ -451,14 +436,15 @@
     return engine_place(options.data(), static_cast<unsigned>(options.size()), &request);
 }
 
-TEST(EnginePlacement, NoneOfNone) {
+TEST(EnginePlacement, NoEngineIsFoundWithoutCandidates) {
     EXPECT_EQ(place({}, 0, false, 0).outcome, PLACEMENT_NONE);
     engine_option_t avoided = idle(1);
     avoided.avoided = avoided.down = true;
-    EXPECT_EQ(place({avoided}, 0, false, 0).outcome, PLACEMENT_FOUND) << "the sign says nothing";
+    EXPECT_EQ(place({avoided}, 0, false, 0).outcome, PLACEMENT_FOUND)
+        << "the indication is unreliable";
 }
 
-TEST(EnginePlacement, AProgramStaysUnlessAnotherIsBetterByATurn) {
+TEST(EnginePlacement, AProgramStaysUnlessAMoveSavesMoreThanATurn) {
     std::vector<engine_option_t> options = {idle(1), idle(2)};
     options[0].state.load = SLOTS + 2;
     for (uint64_t draw = 0; draw < 1000; draw++)
@@ -467,11 +453,11 @@
     unsigned left = 0;
     for (uint64_t draw = 0; draw < 1000; draw++)
         left += place(options, 1, true, draw * 65).chosen == 1;
-    EXPECT_GT(left, 200U) << "a share leaves, so that both come to one cost";
+    EXPECT_GT(left, 200U) << "the share that equalizes the costs leaves";
     EXPECT_LT(left, 500U);
 }
 
-TEST(EnginePlacement, ASlowEngineIsLeftForAFasterOne) {
+TEST(EnginePlacement, AProgramLeavesASlowEngine) {
     std::vector<engine_option_t> options = {idle(1), idle(2)};
     options[0].state.speed_percent = 20;
     unsigned left = 0;
@@ -480,7 +466,7 @@
     EXPECT_GT(left, 200U);
 }
 
-TEST(EnginePlacement, AnEngineThatTurnedACallAwayGetsNothingUntilItsLoadHasFallen) {
+TEST(EnginePlacement, AnEngineThatRefusedACallGetsNoTurnsUntilItsLoadHasFallen) {
     std::vector<engine_option_t> options = {idle(1), idle(2)};
     options[0].state.turns_away = true;
     for (uint64_t draw = 0; draw < 1000; draw++) {
@@ -491,15 +477,15 @@
     engine_limit_note_refused(&limit, 5, 14, SLOTS, 1000);
     EXPECT_TRUE(engine_limit_turns_away(&limit, 5, 14, 1001));
     EXPECT_FALSE(engine_limit_turns_away(&limit, 5, 13, 1001)) << "its load has fallen";
-    EXPECT_FALSE(engine_limit_turns_away(&limit, 5, 14, 2000)) << "loads known since say more";
-    EXPECT_FALSE(engine_limit_turns_away(&limit, 6, 14, 1001)) << "another life";
+    EXPECT_FALSE(engine_limit_turns_away(&limit, 5, 14, 2000)) << "the refusal has expired";
+    EXPECT_FALSE(engine_limit_turns_away(&limit, 6, 14, 1001)) << "another incarnation";
     EXPECT_EQ(engine_limit_queue(&limit, 5, SLOTS), 14 - SLOTS);
-    EXPECT_EQ(engine_limit_queue(&limit, 6, SLOTS), 0U) << "another life";
+    EXPECT_EQ(engine_limit_queue(&limit, 6, SLOTS), 0U) << "another incarnation";
     engine_limit_note_taken(&limit, 5, 20);
     EXPECT_EQ(engine_limit_queue(&limit, 5, SLOTS), 21 - SLOTS);
 }
 
-TEST(EnginePlacement, WithAllFullOnlyAProgramUnderWayIsSent) {
+TEST(EnginePlacement, OnlyProgramsInProgressAreSentToFullEngines) {
     std::vector<engine_option_t> options = {idle(1), idle(2)};
     options[0].state.load = options[1].state.load = SLOTS + QUEUE;
     placement_t refused = place(options, 0, false, 0);
@@ -509,40 +495,41 @@
     EXPECT_EQ(place(options, 0, true, 0).outcome, PLACEMENT_FOUND);
     options[1].state.load = SLOTS + QUEUE * 3 / 4;
     EXPECT_EQ(place(options, 0, false, 0).outcome, PLACEMENT_FULL)
-        << "what is left of the queues is for programs under way";
+        << "the rest of the queues is reserved for programs in progress";
     options[1].state.load = SLOTS;
     EXPECT_EQ(place(options, 0, false, 0).chosen, 1U);
 }
 
-TEST(EnginePlacement, TheLastEngineIsUsedThoughItSeemsDown) {
+TEST(EnginePlacement, TheOnlyEngineIsUsedEvenIfItIsProbablyDown) {
     engine_option_t only = idle(1);
     only.avoided = only.down = true;
     EXPECT_EQ(place({only}, 0, true, 0).outcome, PLACEMENT_FOUND);
-    EXPECT_EQ(place({only}, 1, true, 0).outcome, PLACEMENT_FOUND) << "also by its own program";
-    EXPECT_EQ(place({only, idle(2)}, 1, true, 0).chosen, 1U) << "which leaves it for another";
+    EXPECT_EQ(place({only}, 1, true, 0).outcome, PLACEMENT_FOUND) << "also by its current program";
+    EXPECT_EQ(place({only, idle(2)}, 1, true, 0).chosen, 1U)
+        << "the program moves to another engine";
 }
 
-TEST(EnginePlacement, AnotherZoneIsUsedOnlyIfAllOfThisOneAreWorse) {
+TEST(EnginePlacement, ARemoteEngineIsUsedOnlyIfAllLocalOnesCostMore) {
     std::vector<engine_option_t> options = {idle(1), idle(2), idle(3)};
     options[2].near = false;
     options[0].state.load = SLOTS + QUEUE - 1;
     for (uint64_t draw = 0; draw < 1000; draw++)
-        EXPECT_LT(place(options, 0, false, draw * 65537).chosen, 2U) << "one of the zone is idle";
+        EXPECT_LT(place(options, 0, false, draw * 65537).chosen, 2U) << "a local engine is idle";
     options[1].state.load = SLOTS + 2;
     EXPECT_EQ(place(options, 0, false, 0).chosen, 2U);
 }
 
-TEST(EngineUsual, AMedianIsNotMovedByAHungEngine) {
-    engine_usual_t usual = {};
-    EXPECT_EQ(engine_usual_turn_ms(&usual), 100);
+TEST(EngineBaseline, OutliersDoNotChangeTheMedian) {
+    engine_usual_t baseline = {};
+    EXPECT_EQ(engine_usual_turn_ms(&baseline), 100);
     for (unsigned i = 0; i < 200; i++)
-        engine_usual_note_turn(&usual, i % 10 == 0 ? 15000 : 58 + i % 5, 100);
-    EXPECT_NEAR(engine_usual_turn_ms(&usual), 60, 12);
+        engine_usual_note_turn(&baseline, i % 10 == 0 ? 15000 : 58 + i % 5, 100);
+    EXPECT_NEAR(engine_usual_turn_ms(&baseline), 60, 12);
     for (unsigned i = 0; i < 200; i++) {
-        engine_usual_note_first(&usual, 20, 0, 100);
-        engine_usual_note_first(&usual, 20 + 2000 / 50, 2000, 100);
+        engine_usual_note_first(&baseline, 20, 0, 100);
+        engine_usual_note_first(&baseline, 20 + 2000 / 50, 2000, 100);
     }
-    EXPECT_NEAR(engine_usual_tokens_per_ms(&usual), 50, 8);
+    EXPECT_NEAR(engine_usual_tokens_per_ms(&baseline), 50, 8);
 }
 
 } // namespace
--- a/tests/unit/routing_test.cc
+++ b/tests/unit/routing_test.cc
@@ -58,7 +58,7 @@
     }
 };
 
-TEST_F(Routing, FollowsTheCachedPrefixUnlessTheEngineIsBusy) {
+TEST_F(Routing, PrefersTheCachedPrefixUnlessTheEngineIsBusy) {
     prefix_note_sent(backend_set_find(set, "e2"), &prefix);
     for (int i = 0; i < 5; i++)
         EXPECT_STREQ(choose(), "e2");
@@ -69,7 +69,7 @@
     EXPECT_STRNE(choose(), "e2");
 }
 
-TEST_F(Routing, LeavingBackendGetsNothingAndStaysLeaving) {
+TEST_F(Routing, LeavingBackendGetsNoCallsAndStaysLeaving) {
     prefix_note_sent(backend_set_find(set, "e2"), &prefix);
     auto *record = static_cast<backend_record_t *>(g_ptr_array_index(records, 1));
     record->leaving = true;
@@ -77,10 +77,10 @@
     EXPECT_STRNE(choose(), "e2");
     record->leaving = false;
     backend_set_update(set, records, ignore_change, nullptr);
-    EXPECT_STRNE(choose(), "e2") << "the list lags: it may show an older state";
+    EXPECT_STRNE(choose(), "e2") << "the list may be outdated";
 }
 
-TEST_F(Routing, EngineThatSaysItLeavesGetsNothing) {
+TEST_F(Routing, EngineThatReportsLeavingGetsNoCalls) {
     load_report_t report = {};
     report.leaving = true;
     for (const char *name : {"e1", "e2", "e3"})
@@ -88,7 +88,7 @@
     EXPECT_STREQ(choose(), "");
 }
 
-TEST_F(Routing, UnreachableBackendIsEjectedForAWhile) {
+TEST_F(Routing, UnreachableBackendIsEjectedTemporarily) {
     prefix_note_sent(backend_set_find(set, "e2"), &prefix);
     backend_t *backend = backend_set_find(set, "e2");
     for (int i = 0; i < 3; i++) {
@@ -104,7 +104,7 @@
     EXPECT_STRNE(choose("e2"), "e2");
 }
 
-TEST_F(Routing, OwnCallsCountBetweenReports) {
+TEST_F(Routing, CallsSentSinceTheLastLoadReportCountAsLoad) {
     routing.policy = POLICY_PREFIX_AND_LOAD;
     std::map<std::string, int> chosen;
     for (int i = 0; i < 30; i++) {
@@ -113,10 +113,10 @@
         backend_call_started(backend_set_find(set, name));
     }
     for (const char *name : {"e1", "e2", "e3"})
-        EXPECT_EQ(chosen[name], 10) << "no herd on one engine";
+        EXPECT_EQ(chosen[name], 10) << "calls are distributed evenly";
 }
 
-TEST_F(Routing, BaselinesDoWhatTheyAreNamedFor) {
+TEST_F(Routing, RoundRobinAlternatesAndStickyRepeats) {
     routing.policy = POLICY_ROUND_ROBIN;
     std::string first = choose();
     EXPECT_NE(first, choose());
@@ -125,12 +125,12 @@
     EXPECT_EQ(sticky, choose());
 }
 
-TEST(RetryBudget, AllowsAFewAtOnceAndATenthAfterwards) {
+TEST(RetryBudget, AllowsABurstAndATenthOfTheCallsAfterwards) {
     retry_budget_t budget = retry_budget_new();
     int retries = 0;
     while (retry_budget_take(&budget))
         retries++;
-    EXPECT_EQ(retries, 10) << "a new leader can replace lost calls before it has seen many";
+    EXPECT_EQ(retries, 10) << "a new leader can retry lost calls at once";
     for (int i = 0; i < 1000; i++) {
         retry_budget_first_try(&budget);
         retries += retry_budget_take(&budget);
