--- a/src/core/routing/backend.h
+++ b/src/core/routing/backend.h
@@ -40,9 +40,9 @@
     uint32_t sent_since_report;
     uint32_t failures;        /**< Consecutive failures. */
     int64_t ejected_until_ms; /**< The back end gets no calls before this time. */
-    bool leaving_announced;   /**< Set by the first list that says so; stays set while listed. */
-    GHashTable *prefixes;     /**< Hash of a prompt block that is probably cached → use stamp. */
-    uint64_t prefix_stamp;
+    bool leaving_announced;   /**< Set once a machine list marks it as leaving; never reset. */
+    GHashTable *prefixes;  /**< Hash of a block probably cached → prefix_stamp of its last use. */
+    uint64_t prefix_stamp; /**< Number of prompts sent. */
 } backend_t;
 
 typedef struct backend_set backend_set_t;
@@ -53,8 +53,8 @@
 typedef void (*backend_change_t)(void *context, const backend_t *backend, bool removed);
 
 /**
- * Applies the machine list @p records (of backend_record_t), which the caller keeps ownership of.
- * Calls @p on_change for each back end that was added, has begun to leave, or was removed.
+ * Applies the machine list @p records (of backend_record_t); the caller keeps ownership.
+ * Calls @p on_change for each back end that was added, was marked as leaving, or was removed.
  */
 void backend_set_update(backend_set_t *set, const GPtrArray *records, backend_change_t on_change,
                         void *context);
--- a/src/core/routing/backend_speed.c
+++ b/src/core/routing/backend_speed.c
@@ -12,11 +12,11 @@
     MIN_BACKENDS = 3, /**< Of a service, for its typical speed to be known. */
     MIN_VALUES = 5,
     MIN_LOAD_DIFFERENCE = 2, /**< Pairs with closer loads are ignored as noise. */
-    MIN_SQUARES = 400,       /**< With fewer pairs, noise can look like a slope. */
+    MIN_SQUARES = 400, /**< Below this sum there are too few pairs to tell a slope from noise. */
 };
 static const double PAIR_DECAY = 1 - 1.0 / 512; /**< Applied to the sums at each new pair. */
 static const double MAX_SLOPE = 0.5;
-static const double DEFAULT_DEVIATION = 0.6; /**< Relative, while too few samples are known. */
+static const double DEFAULT_DEVIATION = 0.6; /**< Relative; used until there are enough samples. */
 static const double MEDIAN_ERROR_FACTOR = 1.44;
 static const double SIGNIFICANT_DEVIATIONS = 3.5;
 
--- a/src/core/routing/backend_speed.h
+++ b/src/core/routing/backend_speed.h
@@ -3,8 +3,8 @@
  * Speed of a back end relative to the typical back end of its service.
  *
  * A gateway sees only few calls of each back end, so gateways exchange their estimates and merge
- * them by weighted median. Medians keep outliers and a hung back end from moving either a back
- * end's speed or the typical speed of the service. Estimates lose weight with age and belong to one
+ * them by weighted median. With medians, outliers and a hung back end change neither a back end's
+ * speed nor the typical speed of the service. Estimates lose weight with age and belong to one
  * incarnation of the back end; a new incarnation starts at the typical speed.
  *
  * Concurrent calls slow a back end down. The slowdown is estimated from pairs of samples of the
@@ -87,10 +87,10 @@
 bool backend_pace_known(const backend_pace_t *estimate, uint64_t now);
 /**
  * Adds the difference of two consecutive samples of a back end to @p spread, in thousandths of
- * their mean. The spread of a service is what its times vary by at one back end.
+ * their mean. The spread of a service measures how much the times of a single back end vary.
  */
 void work_spread_note(recent_times_t *spread, uint32_t work_us, uint32_t earlier_us);
-/** Median over @p works_us, which is sorted in place; 0 if @p count is too small. */
+/** Median of @p works_us, which is sorted in place; 0 if @p count is too small. */
 uint32_t backend_speed_typical_us(uint32_t *works_us, unsigned count);
 /**
  * Speed in percent of the typical one, clamped to [BACKEND_SPEED_MIN_PERCENT,
--- a/src/core/routing/ejection.c
+++ b/src/core/routing/ejection.c
@@ -4,7 +4,7 @@
     BASE_EJECTION_MS = 500,
     MAX_DOUBLINGS = 3,
     OUTAGE_GAP_MS = 6000,  /**< A reset after a longer gap starts a new outage. */
-    SAME_FAILURE_MS = 100, /**< Calls that one failure interrupts are reset within this time. */
+    SAME_FAILURE_MS = 100, /**< Resets within this time count as one failure. */
     MIN_REPORTERS = 2,
 };
 
--- a/src/core/routing/ejection.h
+++ b/src/core/routing/ejection.h
@@ -2,13 +2,13 @@
  * @file ejection.h
  * Ejection of a back end that is probably down.
  *
- * A quick reset is a connection that closes after the whole request was sent, but before the back
- * end can have processed it. A call that may run only once can't be retried after that, so every
- * gateway that detects the failure by itself loses a call. Gateways therefore report ejections to
- * each other: a back end is also ejected here if at least two other gateways report it. A single
- * report may be due to a faulty link.
+ * A gateway ejects a back end after a quick reset: its connection closes after the whole request
+ * was sent, but before the back end can have processed it. A call that may run only once can't be
+ * retried after that, so every gateway that detects the failure by itself loses a call. Gateways
+ * therefore report ejections to each other: a back end is also ejected here if at least two other
+ * gateways report it. A single report may be due to a faulty link.
  *
- * Ejections that follow one another closely get exponentially longer.
+ * The ejection time backs off exponentially during an outage.
  *
  * Decision code; an object belongs to one thread. Times are in ms.
  */
--- a/src/core/routing/engine_choice.c
+++ b/src/core/routing/engine_choice.c
@@ -8,8 +8,8 @@
     OVERLOAD_PERCENT = 150,  /**< Load in percent of the slots at which an engine is overloaded. */
     TARGET_MAX_PERCENT = 50, /**< Maximum load of the engine that a program moves to. */
     MEAN_EXCESS_PERCENT = 108, /**< Bound on an engine's load, in percent of the mean load. */
-    MEAN_EXCESS_CALLS = 1,     /**< Added to the bound, for random variation of low loads. */
-    AVOIDED_DIVISOR = 3,       /**< If more than 1/3 are avoided, the indication is unreliable. */
+    MEAN_EXCESS_CALLS = 1,     /**< Added to that bound, since low loads vary by a call or so. */
+    AVOIDED_DIVISOR = 3,       /**< If more than 1/3 are avoided, `avoided` is ignored. */
 };
 
 /** Candidates and criteria of a search. */
@@ -22,7 +22,7 @@
     unsigned max_load_percent; /**< In percent of the slots; 0: no limit. */
 } search_t;
 
-/** True if so many engines are avoided that the indication is unreliable. */
+/** True if so many engines are avoided that failure detection is probably wrong. */
 static bool avoidance_unreliable(const engine_candidate_t *candidates, unsigned count) {
     unsigned avoided = 0;
     for (unsigned i = 0; i < count; i++)
@@ -58,7 +58,7 @@
     return XXH64(&engine->id, sizeof engine->id, part);
 }
 
-/** The highest-ranked eligible engine within the load bound, which is not below the mean load. */
+/** Finds the highest-ranked eligible engine whose load is within the bound. */
 static bool search_engine(const search_t *search, unsigned *chosen) {
     unsigned bound = load_bound(search);
     uint64_t best_rank = 0;
--- a/src/core/routing/engine_choice.h
+++ b/src/core/routing/engine_choice.h
@@ -10,8 +10,9 @@
  * and engine that is the same at all gateways, and the first one whose load is not far above the
  * mean is chosen. So a part is processed by few engines, and by more as its load grows.
  *
- * Engines of other zones are used only if none in the local zone qualifies. Engines that are
- * probably down are excluded, unless so many are that the indication is unreliable.
+ * Engines of other zones are used only if none in the local zone qualifies. Avoided engines get no
+ * new programs, unless more than a third of the engines are avoided: failure detection is then
+ * considered unreliable.
  *
  * Decision code: no I/O, clock or thread.
  */
@@ -23,8 +24,8 @@
 
 /** An engine that can run the call. */
 typedef struct {
-    uint64_t id;   /**< Hash of its instance; the same at all gateways. */
-    unsigned load; /**< Calls in progress from all gateways, as far as known. */
+    uint64_t id;   /**< Hash of the engine's instance; the same at all gateways. */
+    unsigned load; /**< Known calls in progress from all gateways. */
     unsigned slots;
     bool near;    /**< In the gateway's zone. */
     bool avoided; /**< Failed recently or is slow to respond; gets no new programs. */
--- a/src/core/routing/engine_cost.c
+++ b/src/core/routing/engine_cost.c
@@ -23,7 +23,10 @@
     return MIN(engine->load, engine->slots);
 }
 
-/** Time to process tokens cached elsewhere, plus the weighted delay of the running calls. */
+/**
+ * Time to process prompt tokens that another engine has cached, plus the weighted delay of the
+ * running calls.
+ */
 static double reread_ms(const engine_state_t *engine, const engine_turn_t *turn,
                         prompt_cache_t cache) {
     uint32_t tokens = turn->prompt_tokens - MIN(turn->new_tokens, turn->prompt_tokens);
--- a/src/core/routing/engine_cost.h
+++ b/src/core/routing/engine_cost.h
@@ -16,7 +16,7 @@
 #include <stdint.h>
 
 typedef struct {
-    unsigned load; /**< Calls in progress from all gateways, as far as known. */
+    unsigned load; /**< Known calls in progress from all gateways. */
     unsigned slots;
     unsigned queue;         /**< Maximum number of queued calls; 0: unknown. */
     unsigned speed_percent; /**< Of the service's typical speed; see backend_speed.h. */
--- a/src/core/routing/engine_limit.c
+++ b/src/core/routing/engine_limit.c
@@ -3,8 +3,8 @@
 #include <glib.h>
 
 enum {
-    REFUSAL_HOLD_MS = 300, /**< Load reports of the other gateways arrive within this time. */
-    STEP_DIVISOR = 4,      /**< A refusal moves the limit by this fraction of the difference. */
+    REFUSAL_HOLD_MS = 300, /**< Time after a refusal in which the engine counts as full. */
+    STEP_DIVISOR = 4,      /**< A refusal moves the limit by 1/4 of its difference from the load. */
 };
 
 static void reset_on_restart(engine_limit_t *limit, uint64_t incarnation) {
--- a/src/core/routing/engine_limit.h
+++ b/src/core/routing/engine_limit.h
@@ -3,7 +3,7 @@
  * Estimates how many calls an engine accepts before it refuses one.
  *
  * The directory does not publish this limit. After a refusal the engine counts as full until its
- * load has fallen, or until the loads known here have been updated. The load at a refusal is also
+ * load has fallen, or until the known loads have been updated. The load at a refusal is also
  * an observation of the limit. Since known loads lag, the estimate follows these observations
  * gradually; an accepted call at a higher load raises it. Estimates belong to one incarnation of
  * the engine.
--- a/src/core/routing/engine_placement.c
+++ b/src/core/routing/engine_placement.c
@@ -8,7 +8,7 @@
     PERCENT = 100,
     MIN_GAIN_PERCENT = 100, /**< Minimum gain of a move, in percent of a turn's duration. */
     PART_DIVISOR = 4,       /**< A part is assigned to 1/4 of the engines. */
-    AVOIDED_DIVISOR = 3,    /**< If more than 1/3 are avoided, the indication is unreliable. */
+    AVOIDED_DIVISOR = 3,    /**< If more than 1/3 are avoided, `avoided` is ignored. */
     RANDOM_FIELD_BITS = 16,
     NO_ENGINE = -1,
 };
@@ -22,7 +22,7 @@
     bool use_current; /**< Include the program's current engine, although it is probably down. */
 } search_t;
 
-/** True if so many engines are avoided that the indication is unreliable. */
+/** True if so many engines are avoided that failure detection is probably wrong. */
 static bool avoidance_unreliable(const engine_option_t *options, unsigned count) {
     unsigned avoided = 0;
     for (unsigned i = 0; i < count; i++)
@@ -54,7 +54,7 @@
     return !option->avoided || search->use_avoided;
 }
 
-/** True if the engine can take the turn of a program that is not there yet. */
+/** True if the engine can take a turn that does not stay at the program's current engine. */
 static bool accepts_turn(const search_t *search, const engine_option_t *option) {
     if (!usable(search, option))
         return false;
@@ -142,7 +142,7 @@
                                                                                     : local_index;
 }
 
-/** True for the share of turns that equalizes the costs of both engines. */
+/** True at random, with the probability that equalizes the costs of both engines. */
 static bool should_leave(const search_t *search, double place_ms, double other_ms) {
     double gain = place_ms - other_ms;
     double share = gain / (2 * place_ms);
--- a/src/core/routing/engine_placement.h
+++ b/src/core/routing/engine_placement.h
@@ -6,8 +6,9 @@
  * costs less even though it has to process the whole prompt. Known loads lag, and all gateways know
  * the same loads, so two measures prevent herding: only the share of turns that equalizes the costs
  * of both engines leaves an overloaded engine, and the target is the better of two engines sampled
- * at random. Each prompt part is assigned to a subset of the engines by a hash that is the same at
- * all gateways; those engines cost less, so that a part is processed by few engines.
+ * at random (power of two choices). Each prompt part is assigned to a subset of the engines by a
+ * hash that is the same at all gateways; those engines cost less, so that a part is processed by
+ * few engines.
  *
  * A full engine gets no new programs; if all are full, a new program is refused before it is sent.
  * A program in progress is still sent to a full engine, since known loads may be stale.
@@ -24,7 +25,7 @@
 
 /** An engine that can run the turn. */
 typedef struct {
-    uint64_t id; /**< Hash of its instance; the same at all gateways. */
+    uint64_t id; /**< Hash of the engine's instance; the same at all gateways. */
     engine_state_t state;
     bool near;    /**< In the gateway's zone. */
     bool avoided; /**< Failed recently or is slow to respond; gets no new programs. */
@@ -35,7 +36,7 @@
     uint64_t place; /**< Id of the engine that has the program's prompt cached; 0: unknown. */
     uint64_t part;  /**< Hash of the first part of the prompt, else of the program. */
     engine_turn_t turn;
-    bool begun;         /**< The program is in progress: a full engine is better than none. */
+    bool begun; /**< The program is in progress; it may use a full engine if all are full. */
     bool wants_free_ms; /**< Set free_ms even if an engine is found. */
     uint64_t draw;      /**< Random bits of this turn. */
 } placement_request_t;
--- a/src/core/routing/engine_usual.c
+++ b/src/core/routing/engine_usual.c
@@ -4,9 +4,9 @@
 
 enum {
     PERCENT = 100,
-    STEP_DIVISOR = 16, /**< A sample moves the median by this fraction of its value. */
+    STEP_DIVISOR = 16, /**< A sample moves the median by 1/16 of the median. */
     MIN_SAMPLES = 8,
-    MIN_REREAD_TOKENS = 500, /**< Fewer tokens take too little time to measure. */
+    MIN_REREAD_TOKENS = 500, /**< The processing time of fewer tokens is too short to measure. */
     TURN_DEFAULT_MS = 100,
     TURN_MIN_MS = 5,
     TURN_MAX_MS = 20000,
--- a/src/core/routing/engine_usual.h
+++ b/src/core/routing/engine_usual.h
@@ -39,7 +39,7 @@
 void engine_usual_note_refused(engine_usual_t *baseline, unsigned load, unsigned slots);
 /** An engine ran a call that was sent at load @p load. */
 void engine_usual_note_taken(engine_usual_t *baseline, unsigned load, unsigned slots);
-/** Estimated queue length of an engine without a limit of its own; 0: unknown. */
+/** Typical maximum number of queued calls, for engines without an own estimate; 0: unknown. */
 unsigned engine_usual_queue(const engine_usual_t *baseline, unsigned slots);
 /** Duration of a turn at an engine of typical speed with a free slot. */
 double engine_usual_turn_ms(const engine_usual_t *baseline);
--- a/src/core/routing/routing.c
+++ b/src/core/routing/routing.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Weights of the cost estimate; they match the stand-in engine. */
+/* Weights of the cost estimate; they match the simulated engine of src/standin. */
 enum {
     COST_PER_QUEUED_CALL_MS = 60,
     COST_PER_RUNNING_CALL_MS = 6,
--- a/src/core/routing/service_choice.c
+++ b/src/core/routing/service_choice.c
@@ -5,14 +5,14 @@
 
 enum {
     /* Costs are expected delays in units of 0.1 ms. */
-    AVOIDED_COST = 100000,         /**< Used only if there is no other candidate. */
-    UNRELIABLE_AVOIDED_COST = 500, /**< If the indication is unreliable. */
+    AVOIDED_COST = 100000, /**< Exceeds all other costs: an avoided back end is the last choice. */
+    UNRELIABLE_AVOIDED_COST = 500, /**< Replaces AVOIDED_COST if too many are avoided. */
     NEW_CONNECTION_COST = 60,      /**< Setup time, and the cost of a connection. */
     LOAD_COST = 50,                /**< Of each call in progress. */
     QUEUE_COST = 400,              /**< Added for each call beyond the slots. */
     TENTHS_PER_MS = 10,
     TYPICAL_PERCENT = 100,
-    AVOIDED_DIVISOR = 3, /**< If more than 1/3 are avoided, the indication is unreliable. */
+    AVOIDED_DIVISOR = 3, /**< More than 1/3 avoided is too many: detection is unreliable. */
 };
 
 /** Converts @p cost at typical speed to the candidate's speed. */
--- a/src/core/routing/service_choice.h
+++ b/src/core/routing/service_choice.h
@@ -4,8 +4,8 @@
  *
  * The candidate with the lowest expected delay wins. Calls in progress add to the delay, and much
  * more so beyond the back end's slots; so do a new connection and another zone. An avoided back end
- * (slow to respond or probably down) is used only if there is no other, unless so many are avoided
- * that the indication is unreliable.
+ * (slow to respond or probably down) is used only if there is no other. If more than a third are
+ * avoided, failure detection is considered unreliable and avoidance only adds to the cost.
  *
  * Where speeds are measured, delays scale with the back end's speed, and another zone is used only
  * when the call would be queued in the local one, which keeps traffic between zones low.
@@ -23,8 +23,8 @@
 
 /** A back end that can run the call. */
 typedef struct {
-    uint64_t id;   /**< Hash of its instance. */
-    unsigned load; /**< Calls in progress from all gateways, as far as known. */
+    uint64_t id;   /**< Hash of the back end's instance. */
+    unsigned load; /**< Known calls in progress from all gateways. */
     unsigned slots;
     bool connected; /**< An idle connection is open. */
     bool near;      /**< In the gateway's zone. */
