--- a/src/core/routing/backend.h
+++ b/src/core/routing/backend.h
@@ -1,7 +1,7 @@
 /**
  * @file backend.h
- * The back ends in the machine list, model engines and services, with the state observed for each:
- * load, calls in flight, failures and cached prompt prefixes.
+ * The back ends (model engines and services) in the machine list, which the platform provides, with
+ * the state observed for each: load, calls in flight, failures and cached prompt prefixes.
  *
  * Decision code: no I/O, clock or thread.
  */
@@ -14,7 +14,7 @@
 
 typedef enum { BACKEND_ENGINE, BACKEND_SERVICE, BACKEND_KINDS } backend_kind_t;
 
-/** One entry of the machine list. */
+/** One entry of the machine list, the platform's list of back ends. */
 typedef struct {
     backend_kind_t kind;
     char *name;
@@ -42,7 +42,7 @@
     int64_t ejected_until_ms; /**< The back end gets no calls before this time. */
     bool leaving_announced;   /**< Set once a machine list marks it as leaving; never reset. */
     GHashTable *prefixes;  /**< Hash of a block probably cached → prefix_stamp of its last use. */
-    uint64_t prefix_stamp; /**< Number of prompts sent. */
+    uint64_t prefix_stamp; /**< Sequence number of the latest prompt sent. */
 } backend_t;
 
 typedef struct backend_set backend_set_t;
--- a/src/core/routing/engine_cost.c
+++ b/src/core/routing/engine_cost.c
@@ -24,8 +24,8 @@
 }
 
 /**
- * Time to process prompt tokens that another engine has cached, plus the weighted delay of the
- * running calls.
+ * Time to process prompt tokens that another engine has cached and this one lacks, plus the delay
+ * that this causes to each running call, weighted by INTERFERENCE_PERCENT.
  */
 static double reread_ms(const engine_state_t *engine, const engine_turn_t *turn,
                         prompt_cache_t cache) {
--- a/src/core/routing/engine_cost.h
+++ b/src/core/routing/engine_cost.h
@@ -49,7 +49,7 @@
  * whose work would be wasted if they were refused.
  */
 bool engine_full_for_new(const engine_state_t *engine);
-/** Expected time until the engine has a free place: in its queue if it is full, else in a slot. */
+/** Expected time until a place in the queue is free if the engine is full, else until a slot is. */
 double engine_free_ms(const engine_state_t *engine, const engine_turn_t *turn);
 
 #endif
--- a/src/core/routing/engine_placement.h
+++ b/src/core/routing/engine_placement.h
@@ -4,11 +4,11 @@
  *
  * A program leaves the engine that has its prompt cached if that engine is full, or if another one
  * costs less even though it has to process the whole prompt. Known loads lag, and all gateways know
- * the same loads, so two measures prevent herding: only the share of turns that equalizes the costs
- * of both engines leaves an overloaded engine, and the target is the better of two engines sampled
- * at random (power of two choices). Each prompt part is assigned to a subset of the engines by a
- * hash that is the same at all gateways; those engines cost less, so that a part is processed by
- * few engines.
+ * the same loads, so two measures prevent herding: a turn leaves an overloaded engine only with the
+ * probability that equalizes the costs of both engines, and the target is the better of two engines
+ * sampled at random (power of two choices). Each prompt part is assigned to a subset of the engines
+ * by a hash that is the same at all gateways; those engines cost less, so that a part is processed
+ * by few engines.
  *
  * A full engine gets no new programs; if all are full, a new program is refused before it is sent.
  * A program in progress is still sent to a full engine, since known loads may be stale.
