--- a/src/core/turns/record_clock.h
+++ b/src/core/turns/record_clock.h
@@ -1,16 +1,16 @@
 /**
  * @file record_clock.h
- * The time by which the records of a storage node age. It goes on from where the log ended, and
- * stands while the node is down: a steady clock begins anew with its machine, and the time of day
- * may jump. So the log holds marks of this time between its records; a record is as old as the
- * marks around it say, less the time that the node was down, and never older than it is.
+ * The clock by which the records of a storage node expire. It continues from the end of the log
+ * and does not advance while the node is down. Neither system clock will do: the monotonic clock
+ * restarts with the machine, and the wall clock may jump. The log therefore contains time marks
+ * between its records. A record's age follows from the surrounding marks; it excludes time during
+ * which the node was down and is never overestimated.
  *
- * Without it reading the log again gave each record its whole time once more. After a loss of power
- * turns that had been forgotten took the room of new ones, and all were refused; a node that ends
- * more often than records expire would keep all of them for good.
+ * Without the marks, replaying the log would restart the retention time of every record: expired
+ * turns would take the space of new ones, and a node that restarts more often than records expire
+ * would keep all of them forever.
  *
- * Decision code: no I/O, clock or thread. Times are in ms; this clock's begin with 0 at the log's
- * first record.
+ * Decision code: no I/O, clock or thread. Times are in ms; 0 is the time of the log's first record.
  */
 #ifndef RUDDERWAY_CORE_TURNS_RECORD_CLOCK_H
 #define RUDDERWAY_CORE_TURNS_RECORD_CLOCK_H
@@ -18,26 +18,26 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** Between two marks while records are written: a record may be taken for so much younger. */
+/** Interval of marks while records are written; bounds the error of a record's age. */
 enum { RECORD_MARK_MS = 1000 };
 
 typedef struct {
-    uint64_t first_mark; /**< Of the log; marks count from its first record ever. */
-    bool any_mark;
-    uint64_t read;       /**< Time that reading the log has shown. */
-    bool running;        /**< The log has been read. */
-    uint64_t running_at; /**< When that was, in the caller's time. */
-    uint64_t marked;     /**< The latest mark written, in this clock's time. */
-    bool any_marked;     /**< Since the log has been read. */
+    uint64_t first_mark; /**< Of this log; marks count from the first record ever written. */
+    bool mark_read;
+    uint64_t replayed_ms; /**< Time covered by the marks that were read from the log. */
+    bool running;         /**< The log has been replayed. */
+    uint64_t started_at;  /**< When replay ended, in the caller's time. */
+    uint64_t last_mark;   /**< Latest mark written, in this clock's time. */
+    bool mark_written;    /**< A mark was written since replay. */
 } record_clock_t;
 
-/** A mark was read from the log. */
+/** Processes a mark that was read from the log. */
 void record_clock_read(record_clock_t *clock, uint64_t mark);
-/** The log has been read; from now on the clock follows the caller's time @p now. */
+/** Ends replay; from now on the clock advances with the caller's time @p now. */
 void record_clock_run(record_clock_t *clock, uint64_t now);
-/** This clock's time at @p now; while the log is being read, that of the latest mark. */
+/** This clock's time at @p now; during replay, that of the latest mark. */
 uint64_t record_clock_time(const record_clock_t *clock, uint64_t now);
-/** True if the next record is to stand behind a new mark; sets @p mark and counts it as written. */
+/** True if a mark must be written before the next record; sets @p mark and counts it as written. */
 bool record_clock_mark(record_clock_t *clock, uint64_t now, uint64_t *mark);
 
 #endif
--- a/src/core/turns/turn_table.c
+++ b/src/core/turns/turn_table.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/** Memory of an entry besides its input and output, roughly. */
+/** Estimated memory of an entry besides its input and output. */
 enum { ENTRY_OVERHEAD_BYTES = 512, ANCESTORS_MAXIMUM = 10000 };
 
 void turn_clear(turn_t *turn) {
@@ -41,37 +41,37 @@
 
 void turn_table_init(turn_table_t *table) {
     table->entries = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_entry);
-    table->wanted_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    table->missing_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     table->bytes = 0;
-    table->segments_needed_until = g_array_new(FALSE, TRUE, sizeof(uint64_t));
+    table->segments_kept_until = g_array_new(FALSE, TRUE, sizeof(uint64_t));
     table->buckets = g_new0(digest_buckets_t, 1);
 }
 
 void turn_table_clear(turn_table_t *table) {
     g_hash_table_destroy(table->entries);
-    g_hash_table_destroy(table->wanted_until);
-    g_array_free(table->segments_needed_until, TRUE);
+    g_hash_table_destroy(table->missing_until);
+    g_array_free(table->segments_kept_until, TRUE);
     g_free(table->buckets);
 }
 
 void turn_table_need_segment(turn_table_t *table, uint32_t segment, uint64_t until) {
-    if (segment >= table->segments_needed_until->len)
-        g_array_set_size(table->segments_needed_until, segment + 1);
-    uint64_t *needed = &g_array_index(table->segments_needed_until, uint64_t, segment);
+    if (segment >= table->segments_kept_until->len)
+        g_array_set_size(table->segments_kept_until, segment + 1);
+    uint64_t *needed = &g_array_index(table->segments_kept_until, uint64_t, segment);
     *needed = MAX(*needed, until);
 }
 
-/** A turn that is not here will be kept until then if it comes. */
-static void want_missing(turn_table_t *table, const char *id, uint64_t expires_at) {
-    uint64_t *until = g_hash_table_lookup(table->wanted_until, id);
+/** Records that a missing turn must be kept until @p expires_at if it arrives. */
+static void require_missing(turn_table_t *table, const char *id, uint64_t expires_at) {
+    uint64_t *until = g_hash_table_lookup(table->missing_until, id);
     if (until == NULL) {
         until = g_new0(uint64_t, 1);
-        g_hash_table_insert(table->wanted_until, g_strdup(id), until);
+        g_hash_table_insert(table->missing_until, g_strdup(id), until);
     }
     *until = MAX(*until, expires_at);
 }
 
-/** Extends the time of an entry and of the turns it goes on from to at least @p expires_at. */
+/** Extends the expiry of an entry and of all its ancestors to at least @p expires_at. */
 static void extend_chain(turn_table_t *table, turn_entry_t *entry, uint64_t expires_at) {
     for (unsigned i = 0; i < ANCESTORS_MAXIMUM; i++) {
         if (entry->expires_at >= expires_at && i > 0)
@@ -83,24 +83,24 @@
             return;
         entry = g_hash_table_lookup(table->entries, parent);
         if (entry == NULL) {
-            want_missing(table, parent, expires_at);
+            require_missing(table, parent, expires_at);
             return;
         }
     }
 }
 
-/** The time until which a turn that comes is kept: its own, or that of those that go on from it. */
-static uint64_t take_wanted(turn_table_t *table, const char *id, uint64_t expires_at) {
-    const uint64_t *until = g_hash_table_lookup(table->wanted_until, id);
+/** Expiry of a new turn: its own, or a later one that its descendants require. */
+static uint64_t take_required_expiry(turn_table_t *table, const char *id, uint64_t expires_at) {
+    const uint64_t *until = g_hash_table_lookup(table->missing_until, id);
     if (until == NULL)
         return expires_at;
     expires_at = MAX(expires_at, *until);
-    g_hash_table_remove(table->wanted_until, id);
+    g_hash_table_remove(table->missing_until, id);
     return expires_at;
 }
 
-/** Notes in its bucket that the entry comes or goes. */
-static void change_bucket(turn_table_t *table, const turn_entry_t *entry, int change) {
+/** Updates the entry's bucket when it is added (@p change 1) or removed (-1). */
+static void update_bucket(turn_table_t *table, const turn_entry_t *entry, int change) {
     table->buckets->records[entry->bucket] += (uint32_t)change;
     table->buckets->digests[entry->bucket] ^= digest_of_record(entry->turn.id, 0);
 }
@@ -116,10 +116,10 @@
     turn_copy(&entry->turn, turn);
     entry->segment = segment;
     entry->bucket = digest_bucket_of(turn->id);
-    change_bucket(table, entry, 1);
+    update_bucket(table, entry, 1);
     g_hash_table_insert(table->entries, entry->turn.id, entry);
     table->bytes += turn_memory_bytes(turn);
-    extend_chain(table, entry, take_wanted(table, turn->id, expires_at));
+    extend_chain(table, entry, take_required_expiry(table, turn->id, expires_at));
     return true;
 }
 
@@ -135,13 +135,13 @@
     return (uint32_t)MIN(entry->expires_at - now, (uint64_t)UINT32_MAX);
 }
 
-static gboolean wanted_no_more(gpointer id, gpointer until, gpointer now) {
+static gboolean requirement_expired(gpointer id, gpointer until, gpointer now) {
     (void)id;
     return *(const uint64_t *)until <= *(const uint64_t *)now;
 }
 
 void turn_table_expire(turn_table_t *table, uint64_t now) {
-    g_hash_table_foreach_remove(table->wanted_until, wanted_no_more, &now);
+    g_hash_table_foreach_remove(table->missing_until, requirement_expired, &now);
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, table->entries);
@@ -150,13 +150,13 @@
         if (entry->expires_at > now)
             continue;
         table->bytes -= turn_memory_bytes(&entry->turn);
-        change_bucket(table, entry, -1);
+        update_bucket(table, entry, -1);
         g_hash_table_iter_remove(&iterator);
     }
 }
 
 bool turn_table_segment_unneeded(const turn_table_t *table, uint32_t segment, uint64_t now) {
-    if (segment >= table->segments_needed_until->len)
+    if (segment >= table->segments_kept_until->len)
         return true;
-    return g_array_index(table->segments_needed_until, uint64_t, segment) <= now;
+    return g_array_index(table->segments_kept_until, uint64_t, segment) <= now;
 }
--- a/tests/unit/turns_test.cc
+++ b/tests/unit/turns_test.cc
@@ -82,7 +82,7 @@
     turn_table_expire(&table, 1800);
     EXPECT_NE(turn_table_find(&table, "a"), nullptr);
     EXPECT_NE(turn_table_find(&table, "b"), nullptr);
-    EXPECT_EQ(g_hash_table_size(table.wanted_until), 0u);
+    EXPECT_EQ(g_hash_table_size(table.missing_until), 0u);
     turn_table_expire(&table, 1900);
     EXPECT_EQ(turn_table_find(&table, "a"), nullptr);
 }
@@ -90,9 +90,9 @@
 TEST_F(TurnTable, ForgetsWhatIsMissingWithTheTurnsThatWantIt) {
     add("b", "a", 0);
     turn_table_expire(&table, 999);
-    EXPECT_EQ(g_hash_table_size(table.wanted_until), 1u);
+    EXPECT_EQ(g_hash_table_size(table.missing_until), 1u);
     turn_table_expire(&table, 1000);
-    EXPECT_EQ(g_hash_table_size(table.wanted_until), 0u);
+    EXPECT_EQ(g_hash_table_size(table.missing_until), 0u);
 }
 
 TEST_F(TurnTable, TellsHowLongATurnIsKeptYet) {
