--- a/src/core/digest/digest_buckets.h
+++ b/src/core/digest/digest_buckets.h
@@ -1,8 +1,8 @@
 /**
  * @file digest_buckets.h
- * Buckets of records by a hash of their key. A bucket's digest is the sum (by exclusive or) of its
- * records' hashes, so that a table can keep it up to date as records come and go: to compute it
- * anew, a replica of 90,000 records would hash all of them for each page of an index.
+ * Divides records into buckets by a hash of their key. A bucket's digest is the exclusive or of its
+ * records' hashes, so that a table can update it incrementally as records are added and removed
+ * instead of hashing all records for each comparison.
  *
  * Decision code: no I/O, clock or thread.
  */
@@ -11,20 +11,16 @@
 
 #include <stdint.h>
 
-/**
- * With some ten records that differ, a table of 10,000 sends some 200 of them instead of all; the
- * digests themselves take 4 KB.
- */
+/** More buckets send fewer equal records beside those that differ, at 8 bytes a bucket. */
 enum { DIGEST_BUCKETS = 512 };
 
 typedef struct {
     uint64_t digests[DIGEST_BUCKETS];
-    uint32_t records[DIGEST_BUCKETS]; /**< How many lie in each bucket. */
+    uint32_t records[DIGEST_BUCKETS]; /**< Number of records by bucket. */
 } digest_buckets_t;
 
-/** The bucket of the record with @p key. */
 uint16_t digest_bucket_of(const char *key);
-/** Hash of a record: of its key, and of @p state if records change. */
+/** Hash of a record by its key and, for mutable records, its @p state. */
 uint64_t digest_of_record(const char *key, uint64_t state);
 
 #endif
--- a/src/core/digest/record_digest.c
+++ b/src/core/digest/record_digest.c
@@ -19,7 +19,7 @@
     return a->charges[bucket] == b->charges[bucket];
 }
 
-/** Big-endian, so that replicas on different processors agree. */
+/** Big-endian, so that the encoding is the same on all architectures. */
 static void put_words(uint8_t *out, const uint64_t *words) {
     for (unsigned i = 0; i < DIGEST_BUCKETS; i++) {
         uint64_t word = GUINT64_TO_BE(words[i]);
