--- a/src/core/configuration/configuration.c
+++ b/src/core/configuration/configuration.c
@@ -200,8 +200,8 @@
     read_parameters(reader, tenant);
 }
 
-/** "key: reason" of a field error, turned into the error of an edit with line and object. */
-static void explain(GError **error, GError *problem, const edit_change_t *change) {
+/** Converts a parse or field error to EDIT_INVALID with object key and line number. */
+static void set_edit_error(GError **error, GError *problem, const edit_change_t *change) {
     const char *detail = strstr(problem->message, ": ");
     detail = detail != NULL ? detail + 2 : problem->message;
     const char *end = strchr(detail, ':');
@@ -222,7 +222,7 @@
     json_reader_t reader;
     json_t *value = json_parse(change->text, strlen(change->text), &problem);
     if (value == NULL) {
-        explain(error, problem, change);
+        set_edit_error(error, problem, change);
         return NULL;
     }
     shared_object_t *shared = g_new0(shared_object_t, 1);
@@ -246,7 +246,7 @@
     if (valid)
         return shared;
     shared_object_unref(shared);
-    explain(error, problem, change);
+    set_edit_error(error, problem, change);
     return NULL;
 }
 
@@ -266,13 +266,13 @@
                   change->key);
         return false;
     }
-    const configuration_object_t *known = configuration_object(base, change->key);
-    uint64_t known_revision = known != NULL ? known->revision : 0;
-    if (known_revision != change->base_revision) {
+    const configuration_object_t *current = configuration_object(base, change->key);
+    uint64_t current_revision = current != NULL ? current->revision : 0;
+    if (current_revision != change->base_revision) {
         error_set(error, RUDDERWAY_ERROR_EDIT_CONFLICT,
                   "%s is at revision %" G_GUINT64_FORMAT
                   ", the edit is based on %" G_GUINT64_FORMAT,
-                  change->key, known_revision, change->base_revision);
+                  change->key, current_revision, change->base_revision);
         return false;
     }
     if (*change->text == '\0') {
@@ -286,7 +286,7 @@
     return true;
 }
 
-/** Every template that a tenant sets parameters for must exist. */
+/** Checks that every template for which a tenant sets parameters exists. */
 static bool references_are_valid(const configuration_t *configuration, GError **error) {
     GHashTableIter iterator;
     gpointer value;
--- a/src/core/configuration/configuration.h
+++ b/src/core/configuration/configuration.h
@@ -3,8 +3,8 @@
  * The operators' configuration: templates, and tenants with their parameters per template.
  *
  * A configuration is an immutable snapshot of one revision. Each revision is one edit: a set
- * of objects written or deleted together. Nodes apply edits one by one, by increasing
- * revision only; so a configuration never reverts, and a rollback is a new revision.
+ * of objects written or deleted atomically. Nodes apply edits in order of revision only, so that
+ * a configuration never reverts; a rollback is a new revision.
  *
  * Decision code: no I/O, clock or thread. A snapshot may be read by any thread.
  */
@@ -15,22 +15,21 @@
 #include "common/json.h"
 #include "core/program/command.h"
 
-/** What programs of one kind share. */
+/** Settings shared by all programs that are created from it. */
 typedef struct {
     char *name;
     char *model;
-    char *prompt; /**< System prompt; "{name}" stands for a parameter. */
+    char *prompt; /**< System prompt; "{name}" is replaced by a parameter. */
     bool batch;
     program_limits_t limits;
-    char **tools; /**< Services that its programs may call. */
+    char **tools; /**< Services that programs may call. */
 } template_t;
 
-/** A tenant: its token and, per template, its parameters. */
 typedef struct {
     char *name;
     char *token_sha256; /**< Lower-case hexadecimal. */
     uint32_t calls_in_flight;
-    char **services;    /**< Services it may call without a program. */
+    char **services;    /**< Services that it may call without a program. */
     json_t *parameters; /**< Object: template → object of parameters. */
 } tenant_t;
 
@@ -39,24 +38,24 @@
 /** One object of a configuration. */
 typedef struct {
     char *key;         /**< "template/NAME" or "tenant/NAME". */
-    uint64_t revision; /**< That last changed it. */
-    char *text;        /**< Its JSON. */
+    uint64_t revision; /**< Revision that last changed the object. */
+    char *text;        /**< JSON source. */
     object_kind_t kind;
     template_t program_template;
     tenant_t tenant;
 } configuration_object_t;
 
-/** One object in an edit. */
+/** Change of one object by an edit. */
 typedef struct {
     char *key;
-    char *text;             /**< JSON; "" deletes. */
-    uint64_t base_revision; /**< The object's revision the editor saw; 0: there was none. */
+    char *text;             /**< JSON; "" deletes the object. */
+    uint64_t base_revision; /**< Revision of the object that was edited; 0: a new object. */
 } edit_change_t;
 
-/** What an operator submits; it becomes one revision. */
+/** A set of changes submitted by an operator; becomes one revision. */
 typedef struct {
-    uint64_t revision; /**< Assigned when it is accepted. */
-    char *id;          /**< Unique, chosen by the editor. */
+    uint64_t revision; /**< Assigned on acceptance. */
+    char *id;          /**< Unique; set by the client. */
     char *author;
     int64_t time_ms;
     GPtrArray *changes; /**< Of edit_change_t. */
@@ -70,24 +69,24 @@
 void configuration_unref(configuration_t *configuration);
 
 /**
- * The configuration after @p edit, whose revision must be the next one. Objects that did not
- * change are shared. NULL with EDIT_INVALID (naming line and key) or EDIT_CONFLICT.
+ * The configuration after @p edit, whose revision must be the next one. Unchanged objects are
+ * shared. NULL with EDIT_INVALID (with line and key in the message) or EDIT_CONFLICT.
  */
 configuration_t *configuration_apply(const configuration_t *configuration, const edit_t *edit,
                                      GError **error);
 
 /**
- * The configuration that a snapshot holds: an edit whose changes are all objects, each with its
- * own revision as base_revision. NULL with EDIT_INVALID.
+ * The configuration in @p snapshot, an edit that contains every object with its own revision as
+ * base_revision. NULL with EDIT_INVALID.
  */
 configuration_t *configuration_load(const edit_t *snapshot, GError **error);
 
 uint64_t configuration_revision(const configuration_t *configuration);
-/** The id of the edit that made this revision; "" at revision 0. */
+/** Id of the edit that created this revision; "" at revision 0. */
 const char *configuration_edit_id(const configuration_t *configuration);
 const template_t *configuration_template(const configuration_t *configuration, const char *name);
 const tenant_t *configuration_tenant(const configuration_t *configuration, const char *name);
-/** The tenant whose token hashes to @p sha256; compares in constant time per tenant. */
+/** The tenant whose token has this SHA-256 hash; compares in constant time per tenant. */
 const tenant_t *configuration_tenant_by_token(const configuration_t *configuration,
                                               const char *sha256);
 const configuration_object_t *configuration_object(const configuration_t *configuration,
@@ -101,7 +100,7 @@
 /** The template's prompt with "{name}" replaced by the parameters; caller frees. */
 char *configuration_prompt(const template_t *program_template, const json_t *parameters);
 
-/** The line, from 1, on which the key at @p path ("a.b.c") stands in JSON @p text. */
+/** Line number, from 1, of the key at @p path ("a.b.c") in JSON @p text. */
 int configuration_line_of(const char *text, const char *path);
 
 edit_t *edit_new(const char *id, const char *author, int64_t time_ms);
@@ -110,13 +109,13 @@
 void edit_codec(codec_t *codec, edit_t *edit);
 GBytes *edit_encode(edit_t *edit);
 edit_t *edit_decode(GBytes *bytes);
-/** Edits as JSON, for the key-value service and the administration API. */
+/** JSON encoding, for the key-value service and the administration API. */
 json_t *edit_to_json(const edit_t *edit);
 edit_t *edit_from_json(const json_t *value, GError **error);
 
-/** True for 1 to 64 characters out of A-Z a-z 0-9 . _ - . */
+/** True for 1 to 64 of the characters A-Z a-z 0-9 . _ - */
 bool configuration_name_valid(const char *name);
-/** True if two equally long texts agree; takes the same time wherever they differ. */
+/** Compares strings; the time does not depend on the position of the first difference. */
 bool configuration_equal_constant_time(const char *left, const char *right);
 
 #endif
--- a/src/core/configuration/directory_pace.h
+++ b/src/core/configuration/directory_pace.h
@@ -1,10 +1,10 @@
 /**
  * @file directory_pace.h
- * How often a gateway that has started asks storage nodes for the directory, when a storage node
- * answers, and when it asks a gateway for a newer one. A directory has hundreds of kilobytes, and
- * after a loss of power all gateways ask at once. Gateways offer what they know by its revision
- * alone, and a storage node takes it from one of them at a time: given by each, 2.5 MB from 865
- * gateways at once ended storage nodes of 180 MB.
+ * Pacing of directory transfers between gateways and storage nodes: how often a starting gateway
+ * requests the directory, whether a storage node responds, and when a storage node requests a newer
+ * one. A directory takes hundreds of kilobytes, and after a loss of power all gateways request it
+ * at once. Gateways offer their directory by its revision only, and a storage node pulls it from
+ * one of them at a time; if all gateways pushed theirs, the node would run out of memory.
  *
  * Decision code: no I/O, clock or thread. Times are in ms.
  */
@@ -16,39 +16,39 @@
 #include <stdint.h>
 
 enum {
-    /** Between two requests; a directory of 1 MB takes 0.3 s over a link of 30 Mbit/s. */
-    DIRECTORY_ASK_MS = 1000,
-    /** Bytes that wait for one gateway; with more, an answer is still on its way. */
+    DIRECTORY_ASK_MS = 1000, /**< Interval of a gateway's requests; exceeds a transfer's time. */
+    /** Unsent bytes for one gateway above which a response is considered to be in flight. */
     DIRECTORY_WAITING_MOST_BYTES = 65536,
-    /** Share of the process's memory that buffers of connections may have by then, in percent. */
+    /** Share of the process's memory for connection buffers above which responses are deferred. */
     DIRECTORY_MEMORY_PERCENT = 10,
-    DIRECTORY_PULL_MS = 3000,          /**< A gateway that was asked and gave nothing by then. */
-    DIRECTORY_PULL_LEAST_MS = 1000,    /**< Between two directories that a storage node takes, */
-    DIRECTORY_PULL_BYTES_PER_MS = 100, /**< and more the larger they are: 100 kB a second. */
+    DIRECTORY_PULL_MS = 3000,          /**< Timeout of a storage node's request to a gateway. */
+    DIRECTORY_PULL_LEAST_MS = 1000,    /**< Minimum interval between two pulls, */
+    DIRECTORY_PULL_BYTES_PER_MS = 100, /**< extended according to this transfer rate. */
 };
 
-/** What a storage node knows of the directory. */
+/** A storage node's copy of the directory and the newest offer. */
 typedef struct {
-    uint64_t revision; /**< That it has; 0: none. */
-    size_t bytes;      /**< Of that one. */
-    uint64_t taken_at; /**< When it came; 0: never. */
-    uint64_t offered;  /**< The newest that a gateway offers; 0: none. */
-    uint64_t asked_at; /**< When a gateway was asked that has not answered; 0: none is. */
+    uint64_t revision; /**< Of its copy; 0: it has none. */
+    size_t bytes;      /**< Size of its copy. */
+    uint64_t taken_at; /**< When the copy was received; 0: never. */
+    uint64_t offered;  /**< Latest revision offered by a gateway; 0: none. */
+    uint64_t asked_at; /**< When the outstanding request was sent; 0: there is none. */
 } directory_offer_t;
 
-/** True if the directory is to be asked for (again); @p asked_at: when it last was, 0: never. */
+/** True if a gateway must request the directory; @p asked_at: its latest request, 0: none. */
 bool directory_ask_due(uint64_t asked_at, uint64_t now);
 
 /**
- * True if a request is answered now; otherwise the gateway asks again. All answers share the bytes
- * of one directory, so that what waits for others does not count.
- * @param waiting_there Bytes that wait for the gateway that asks.
- * @param buffer_bytes Memory that the buffers of all connections hold.
- * @param memory_bytes What the process may use.
+ * True if a storage node responds to a request; otherwise the gateway requests again later. All
+ * responses share the bytes of one directory, so that what is queued for other gateways is not
+ * counted separately.
+ * @param waiting_there Bytes queued for the requesting gateway.
+ * @param buffer_bytes Memory held by the buffers of all connections.
+ * @param memory_bytes Memory limit of the process.
  */
 bool directory_answer_now(size_t waiting_there, size_t buffer_bytes, size_t memory_bytes);
 
-/** True if a storage node asks the gateway that offers a newer directory for it now. */
+/** True if a storage node must now request the offered directory. */
 bool directory_pull_due(const directory_offer_t *offer, uint64_t now);
 
 #endif
--- a/src/core/configuration/edit_log.c
+++ b/src/core/configuration/edit_log.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-enum { EDITS_KEPT = 2000 };
+enum { EDITS_RETAINED = 2000 };
 
 struct edit_log {
     configuration_t *configuration;
-    GPtrArray *edits; /**< Of edit_t, consecutive revisions, the last is in force. */
+    GPtrArray *edits; /**< Of edit_t, with consecutive revisions up to the current one. */
 };
 
 edit_log_t *edit_log_new(void) {
@@ -49,7 +49,7 @@
         return EDIT_REJECTED;
     replace_configuration(log, next);
     g_ptr_array_add(log->edits, copy_edit(edit));
-    if (log->edits->len > EDITS_KEPT)
+    if (log->edits->len > EDITS_RETAINED)
         g_ptr_array_remove_index(log->edits, 0);
     return EDIT_APPLIED;
 }
--- a/src/core/configuration/listing_turn.c
+++ b/src/core/configuration/listing_turn.c
@@ -2,14 +2,15 @@
 
 #include "core/configuration/watch_duty.h"
 
-enum { KEPT_SPREAD_SHARE = 6 }; /**< Of the spread, while only one call is to be made. */
+/** Reduces the jitter where only one call is needed. */
+enum { CONFIRM_JITTER_DIVISOR = 6 };
 
 bool listing_turn_due(const listing_turn_t *turn, uint64_t now) {
-    uint64_t kept_ms = LISTING_KEPT_MS + turn->spread_ms / KEPT_SPREAD_SHARE;
-    if (turn->kept_at > 0 && now >= turn->kept_at + kept_ms)
+    uint64_t confirm_ms = LISTING_KEPT_MS + turn->spread_ms / CONFIRM_JITTER_DIVISOR;
+    if (turn->kept_at > 0 && now >= turn->kept_at + confirm_ms)
         return true;
-    uint64_t most_ms = turn->lone ? LISTING_LONE_MS : LISTING_MOST_MS;
-    if (now >= turn->held_since + most_ms + turn->spread_ms)
+    uint64_t timeout_ms = turn->lone ? LISTING_LONE_MS : LISTING_MOST_MS;
+    if (now >= turn->held_since + timeout_ms + turn->spread_ms)
         return true;
     if (turn->told_at == 0 || turn->below)
         return false;
--- a/src/core/configuration/listing_turn.h
+++ b/src/core/configuration/listing_turn.h
@@ -1,16 +1,15 @@
 /**
  * @file listing_turn.h
- * When a gateway that has just started lists the key-value service to its end.
+ * When a gateway that has just started lists the whole key-value service.
  *
- * Of a large fleet all start at once, after a loss of power above all. A listing of 10,000 back
- * ends takes 50 calls and 2.5 MB; done by each of 865 gateways that is 2.2 GB over the service's
- * link of 1 Gbit/s, 18 s, and beyond the calls that it answers in a second; even the first page of
- * each took over a second. When the system starts for the first time it is the same with the watch:
- * 10,000 back ends that register are 20 answers of 500 changes, to each gateway that watches.
+ * After a loss of power all gateways of a fleet start at once. If each of them listed the service,
+ * the listings would exceed the bandwidth and the call rate of the service. The same holds for the
+ * watches of a new system, whose back ends all register at once.
  *
- * So a gateway reads the store group's key alone, and waits: the first of a zone's root cell list
- * the service, the others get the view from storage nodes or from a gateway that has it. Each lists
- * by itself if none comes.
+ * A starting gateway therefore reads only the store group's key and waits. The gateways of lowest
+ * rank in a zone's root cell list the service; the others receive the view from storage nodes or
+ * from a gateway that has it. A gateway that receives none lists the service itself after a
+ * timeout.
  *
  * Decision code: no I/O, clock or thread. Times are in ms.
  */
@@ -21,29 +20,30 @@
 #include <stdint.h>
 
 enum {
-    LISTING_SETTLE_MS = 500, /**< Lists of gateways grow for so long while all connect. */
-    LISTING_EACH_MS = 1500,  /**< The next few list so much later, if the first ones don't. */
-    LISTING_LONE_MS = 1500,  /**< One that reaches no storage node lists after this, */
-    /** One that was given a kept view, and follows nobody then, asks for what came since after
-     * this: a configuration may have changed just before all lost power, and is to be in force 5 s
-     *  after they are back. */
+    LISTING_SETTLE_MS = 500, /**< Delay for the lists of gateways to fill while all connect. */
+    LISTING_EACH_MS = 1500,  /**< Further delay of each next group of WATCH_RENEWING gateways. */
+    LISTING_LONE_MS = 1500,  /**< Timeout of a gateway that reaches no storage node. */
+    /**
+     * Timeout for confirming a view that came from a storage node, while no gateway is followed.
+     * A configuration changed just before a loss of power must be in force 5 s after recovery.
+     */
     LISTING_KEPT_MS = 3500,
-    LISTING_MOST_MS = 10000,  /**< any gateway without a confirmed view after this, */
-    LISTING_SPREAD_MS = 6000, /**< and a part of this, drawn, so that not all do at once. */
+    LISTING_MOST_MS = 10000,  /**< Timeout of any gateway without a confirmed view. */
+    LISTING_SPREAD_MS = 6000, /**< Maximum random jitter added to timeouts. */
 };
 
-/** What a gateway knows that has not listed the service. */
+/** State of a gateway that has not listed the service. */
 typedef struct {
-    uint64_t held_since;
-    uint64_t told_at; /**< When storage nodes first told it of other gateways; 0: they have not. */
-    unsigned rank;    /**< Gateways of its cell that come before it. */
-    bool below;       /**< Its cell is not the root. */
-    bool lone;        /**< It knows no group, or reaches none of its members. */
-    uint64_t kept_at; /**< When a storage node gave it a view; 0: none has, or it follows. */
-    uint32_t spread_ms; /**< Drawn from LISTING_SPREAD_MS. */
+    uint64_t held_since; /**< Since when the listing is deferred. */
+    uint64_t told_at;    /**< When storage nodes first sent the list of gateways; 0: never. */
+    unsigned rank;       /**< Number of gateways of its cell that precede it. */
+    bool below;          /**< Its cell is not the root cell. */
+    bool lone;           /**< It knows no store group, or reaches none of its members. */
+    uint64_t kept_at;    /**< When a storage node sent a view; 0: never, or it follows a gateway. */
+    uint32_t spread_ms;  /**< Random, up to LISTING_SPREAD_MS. */
 } listing_turn_t;
 
-/** True if the gateway is to list the service now, or to ask it for what came since. */
+/** True if the gateway must now list the service, or request the changes since its view. */
 bool listing_turn_due(const listing_turn_t *turn, uint64_t now);
 
 #endif
--- a/src/core/configuration/watch_duty.c
+++ b/src/core/configuration/watch_duty.c
@@ -3,8 +3,10 @@
 #include <limits.h>
 
 enum {
-    TELL_PERIOD_MOST_MS = 1200, /**< Told more seldom, a missed change would show too late. */
-    UP_MS = 1000, /**< Processes tell at least this often, or once a period if that is longer. */
+    /** With a longer period, missed changes would be detected too late. */
+    REPORT_PERIOD_MAX_MS = 1200,
+    /** A process reports at least this often, or once a period if that is longer. */
+    REPORT_INTERVAL_MAX_MS = 1000,
 };
 
 uint32_t watch_answer_age(uint64_t answered_at, uint64_t failed_at, uint64_t now) {
@@ -20,8 +22,8 @@
     return now <= report->heard_at - report->answer_age + bound;
 }
 
-/** Keeps since when another process knows of a change that this one has not seen. */
-static void look_whether_behind(watch_state_t *own, const watch_report_t *reports, unsigned count,
+/** Updates since when another process has reported a change that this one has not seen. */
+static void update_behind_since(watch_state_t *own, const watch_report_t *reports, unsigned count,
                                 uint64_t now) {
     bool behind = false;
     for (unsigned i = 0; i < count; i++)
@@ -32,30 +34,31 @@
         own->behind_since = now;
 }
 
-/** How many processes before this one were heard lately. */
-static unsigned count_up(const watch_report_t *reports, unsigned count, uint64_t tell_period_ms,
-                         uint64_t now) {
-    unsigned up = 0;
+/** Number of live processes that precede this one. */
+static unsigned count_live_before(const watch_report_t *reports, unsigned count,
+                                  uint64_t report_period_ms, uint64_t now) {
+    unsigned live = 0;
     for (unsigned i = 0; i < count; i++)
-        up += reports[i].before && now <= reports[i].heard_at + UP_MS + 2 * tell_period_ms;
-    return up;
+        live += reports[i].before &&
+                now <= reports[i].heard_at + REPORT_INTERVAL_MAX_MS + 2 * report_period_ms;
+    return live;
 }
 
-static uint64_t told_answer_at(const watch_report_t *report) {
+static uint64_t reported_answer_at(const watch_report_t *report) {
     return report->heard_at - report->answer_age;
 }
 
-/** What the processes before this one tell of their watches. */
+/** Summary of the healthy watches that other processes reported. */
 typedef struct {
-    unsigned renewing;      /**< Watches in order. */
-    uint64_t latest_answer; /**< To any of these; 0: there is none. */
-    unsigned first_rank;    /**< Of the first of them. */
-    uint64_t first_answer;  /**< The latest to that one. */
-    unsigned others;        /**< All others that renew and are in order, before it or not. */
+    unsigned renewing;      /**< Healthy watches of processes that precede this one. */
+    uint64_t latest_answer; /**< Latest response to any of these; 0: none. */
+    unsigned first_rank;    /**< Rank of the first of them. */
+    uint64_t first_answer;  /**< Latest response to that one. */
+    unsigned others;        /**< Healthy and renewing, whether they precede this one or not. */
 } watches_before_t;
 
-static watches_before_t look_at_watches(const watch_report_t *reports, unsigned count,
-                                        uint64_t renewing_period_ms, uint64_t now) {
+static watches_before_t summarize_watches(const watch_report_t *reports, unsigned count,
+                                          uint64_t renewing_period_ms, uint64_t now) {
     watches_before_t before = {.first_rank = UINT_MAX};
     for (unsigned i = 0; i < count; i++) {
         if (!watch_duty_in_order(&reports[i], renewing_period_ms, now))
@@ -63,7 +66,7 @@
         before.others += reports[i].renews;
         if (!reports[i].before)
             continue;
-        uint64_t answer = told_answer_at(&reports[i]);
+        uint64_t answer = reported_answer_at(&reports[i]);
         before.renewing++;
         before.latest_answer = before.latest_answer > answer ? before.latest_answer : answer;
         if (reports[i].rank < before.first_rank) {
@@ -74,21 +77,21 @@
     return before;
 }
 
-/** True if it is this process's turn to look, because none of those that renew was answered lately.
- */
-static bool all_quiet(const watches_before_t *before, uint64_t renewing_period_ms, uint64_t now) {
-    uint64_t quiet_ms = WATCH_TURN_MS + WATCH_QUIET_MS + 2 * renewing_period_ms;
-    return before->renewing < (unsigned)WATCH_PROBING && now > before->latest_answer + quiet_ms;
+/** True if this process must start renewing because no renewing process was answered recently. */
+static bool responses_overdue(const watches_before_t *before, uint64_t renewing_period_ms,
+                              uint64_t now) {
+    uint64_t overdue_ms = WATCH_TURN_MS + WATCH_QUIET_MS + 2 * renewing_period_ms;
+    return before->renewing < (unsigned)WATCH_PROBING && now > before->latest_answer + overdue_ms;
 }
 
 /**
- * How long one that renews waits, so that its answer comes as many turns after the first one's as
- * there are others before it. With fewer than three to take turns each waits the shorter.
+ * Staggered wait of a renewing process: its response is due one WATCH_TURN_MS after the first
+ * process's response for each renewing process that precedes it. With fewer than WATCH_RENEWING
+ * processes the cycle is shorter.
  */
-static uint32_t wait_for_turn(const watches_before_t *before, uint64_t now) {
-    unsigned taking_turns =
-        before->others + 1 < WATCH_RENEWING ? before->others + 1 : WATCH_RENEWING;
-    const uint64_t cycle = (uint64_t)WATCH_TURN_MS * taking_turns;
+static uint32_t staggered_wait_ms(const watches_before_t *before, uint64_t now) {
+    unsigned renewing = before->others + 1 < WATCH_RENEWING ? before->others + 1 : WATCH_RENEWING;
+    const uint64_t cycle = (uint64_t)WATCH_TURN_MS * renewing;
     if (before->renewing == 0)
         return (uint32_t)cycle;
     uint64_t turn = before->first_answer + (uint64_t)before->renewing * WATCH_TURN_MS;
@@ -97,29 +100,29 @@
 }
 
 watch_decision_t watch_duty_decide(watch_state_t *own, const watch_report_t *reports,
-                                   unsigned count, uint64_t tell_period_ms,
+                                   unsigned count, uint64_t report_period_ms,
                                    uint64_t renewing_period_ms, uint64_t now) {
-    watches_before_t before = look_at_watches(reports, count, renewing_period_ms, now);
-    unsigned up = count_up(reports, count, tell_period_ms, now);
-    bool enough = before.renewing >= WATCH_RENEWING && tell_period_ms <= TELL_PERIOD_MOST_MS &&
-                  !all_quiet(&before, renewing_period_ms, now);
-    bool rests = own->below ? up >= WATCH_RENEWING : enough;
-    look_whether_behind(own, reports, count, now);
-    /* A new watch that did not help has a longer trial: the service may be out of reach. */
-    bool tried = own->begun_at > own->behind_since;
-    uint64_t patience = tried ? WATCH_TRIAL_MS : WATCH_LAG_MS;
+    watches_before_t before = summarize_watches(reports, count, renewing_period_ms, now);
+    unsigned live = count_live_before(reports, count, report_period_ms, now);
+    bool enough = before.renewing >= WATCH_RENEWING && report_period_ms <= REPORT_PERIOD_MAX_MS &&
+                  !responses_overdue(&before, renewing_period_ms, now);
+    bool rests = own->below ? live >= WATCH_RENEWING : enough;
+    update_behind_since(own, reports, count, now);
+    /* A watch renewed without success gets a longer timeout: the service may be unreachable. */
+    bool renewed = own->begun_at > own->behind_since;
+    uint64_t lag_ms = renewed ? WATCH_TRIAL_MS : WATCH_LAG_MS;
     bool behind = own->behind_since > 0 && now >= own->behind_since + WATCH_LAG_MS &&
-                  now >= own->begun_at + patience;
-    /* One that waits no longer than it should is about to be answered: giving it up costs a call,
-       and makes the process look as if its watch was not in order. */
+                  now >= own->begun_at + lag_ms;
+    /* A watch within its timeout is about to be answered. Cancelling it would cost a call and make
+       this process's watch look unhealthy to others. */
     uint64_t answer_due_ms = WATCH_WAIT_RENEWING_MS + WATCH_ANSWER_MS;
     bool due =
         !rests && now >= own->begun_at + answer_due_ms && now >= own->answered_at + answer_due_ms;
     return (watch_decision_t){
         .on_duty = !rests,
-        .wait_ms = rests ? WATCH_WAIT_RESTING_MS : wait_for_turn(&before, now),
+        .wait_ms = rests ? WATCH_WAIT_RESTING_MS : staggered_wait_ms(&before, now),
         .renew = behind || due,
-        .first = up < WATCH_RENEWING,
-        .patient = own->below || up >= WATCH_PROBING,
+        .first = live < WATCH_RENEWING,
+        .patient = own->below || live >= WATCH_PROBING,
     };
 }
--- a/src/core/configuration/watch_duty.h
+++ b/src/core/configuration/watch_duty.h
@@ -1,27 +1,27 @@
 /**
  * @file watch_duty.h
- * How long one watch of the key-value service may wait, when many processes watch the same.
+ * Wait time and renewal of this process's watch when many processes watch the same key-value
+ * service.
  *
- * A watch whose answer was lost says nothing more, and looks like one that has nothing to say; so
- * someone must ask anew every few seconds. A few do, the *renewing* ones; what they learn shows the
- * others that their own watches have missed something. All tell one another when their watch was
- * last answered and the latest revision at which they saw a change. The first few by address whose
- * watch is in order renew; if one of them is lost, the next takes its place. They end their waits
- * in turn, so that one of them is answered every second. When none was for longer than that, all of
- * them may be cut off or waiting for answers that were lost, which each would find out by itself
- * only after seconds: the next few look.
+ * A watch whose response was lost is indistinguishable from one without changes, so some process
+ * must renew its watch every few seconds. The first WATCH_RENEWING processes by address whose watch
+ * is healthy do so; they are *renewing*, the others *resting*, with a long wait. If a renewing
+ * process fails, the next one in order takes its place. All processes report to one another when
+ * their watch was last answered and the latest revision at which they saw a change, so that a
+ * process learns that its own watch has missed one. The renewing processes stagger their waits, so
+ * that one of them is answered every WATCH_TURN_MS. If none was for longer than that, all of them
+ * may be isolated or waiting for lost responses, and the next few processes start renewing.
  *
- * Of many processes only some tell one another, and one group of them watches for all. In a group
- * *below* it the first few that are up follow processes of that one, and the others follow them;
- * they ask the service themselves only if that fails, so that neither calls nor an outage's
- * attempts grow with the processes.
+ * In a large fleet only the processes of a group report to one another, and one group watches for
+ * all. In a group *below* it the first few live processes follow processes of that group, and the
+ * others follow them. They ask the service themselves only if that fails, so that neither the calls
+ * nor the retries during an outage grow with the fleet.
  *
- * A change must be in force everywhere within 2 s, whichever process is lost meanwhile, and the
- * times below add up to that: a watch pauses up to WATCH_GATHER_MOST_MS while changes keep coming;
- * whoever saw the change tells at once; one that follows a process which was lost, or cut off,
- * before it saw it waits for WATCH_SOURCE_LAG_MS, looks every WATCH_LOOK_BEHIND_MS, and asks
- * another for it: 1.3 s and the network's part. With a pause of 0.9 s, and looks and patience that
- * grew with the period of reports, it was up to 2.9 s.
+ * A change must be in force everywhere within 2 s, even if a process fails meanwhile. A watch
+ * pauses at most WATCH_GATHER_MOST_MS between changes, and a process that saw a change reports it
+ * at once. A follower whose source failed or was isolated before it saw the change waits for
+ * WATCH_SOURCE_LAG_MS, checks every WATCH_LOOK_BEHIND_MS and requests the change from another
+ * source: 1.3 s in all, plus the network's delays.
  *
  * Decision code: no I/O, clock or thread. Times are in ms.
  */
@@ -32,74 +32,72 @@
 #include <stdint.h>
 
 enum {
-    WATCH_RENEWING = 3, /**< So many renew. */
-    WATCH_PROBING = 6,  /**< So many ask often whether a service that is away is back. */
+    WATCH_RENEWING = 3, /**< Number of renewing processes. */
+    WATCH_PROBING = 6,  /**< Number of processes that retry frequently during an outage. */
     WATCH_WAIT_RENEWING_MS = 3000,
-    WATCH_WAIT_LEAST_MS = 300, /**< A shorter wait for one's turn is left out. */
-    /** Between two answers to those that renew, */
+    WATCH_WAIT_LEAST_MS = 300, /**< Shorter staggered waits are extended by one cycle. */
+    /** Interval between the responses to consecutive renewing processes. */
     WATCH_TURN_MS = WATCH_WAIT_RENEWING_MS / WATCH_RENEWING,
-    /** and so much later than that, and two periods of reports, none is late but missing. */
+    /** Delay beyond WATCH_TURN_MS and two report periods after which a response is missing. */
     WATCH_QUIET_MS = 300,
     WATCH_WAIT_RESTING_MS = 25000,
-    WATCH_RESTING_PAUSE_MS = 1000, /**< Between two watches of one that is soon to rest. */
-    WATCH_ANSWER_MS = 900,         /**< For a watch to be answered, beyond the time it waits. */
-    WATCH_LAG_MS = 600,            /**< A change that is known elsewhere must show within this. */
-    WATCH_TRIAL_MS = 2000,         /**< The same for a watch that was begun because of it. */
-    WATCH_GATHER_MOST_MS = 500,    /**< Longest pause between two watches that both saw changes. */
-    /** A change known elsewhere must have come from a process that is followed within this: that
-     * one sees it a pause later at most. */
+    WATCH_RESTING_PAUSE_MS = 1000, /**< Pause between two watches of a resting process. */
+    WATCH_ANSWER_MS = 900,         /**< Timeout of a watch's response beyond its wait. */
+    WATCH_LAG_MS = 600,            /**< Timeout for a change that another process has reported. */
+    WATCH_TRIAL_MS = 2000, /**< The same for a watch that was renewed because of such a change. */
+    WATCH_GATHER_MOST_MS = 500, /**< Maximum pause between two watches that both saw changes. */
+    /** Timeout for a reported change to arrive from the followed process, which may pause first. */
     WATCH_SOURCE_LAG_MS = WATCH_GATHER_MOST_MS + 200,
-    WATCH_LOOK_BEHIND_MS = 50, /**< Between two looks while such a change is missing. */
+    WATCH_LOOK_BEHIND_MS = 50, /**< Check interval while such a change is missing. */
 };
 
-/** What another process told of its watch, and of the storage nodes. */
+/** Report of another process on its watch and its connections to storage nodes. */
 typedef struct {
-    bool before;         /**< Its address comes before ours. */
-    unsigned rank;       /**< Processes known, ours left out, whose addresses come before its. */
-    uint64_t heard_at;   /**< When it told. */
-    uint32_t answer_age; /**< How long before that its watch was answered; UINT32_MAX: never. */
-    uint64_t changed;    /**< The latest revision at which it saw a change. */
-    bool has_stores;     /**< It reaches a quorum of storage nodes itself. */
-    bool renews;         /**< It watches and asks anew itself, so that others may follow it. */
+    bool before;         /**< Its address precedes that of this process. */
+    unsigned rank;       /**< Number of other known processes whose addresses precede its own. */
+    uint64_t heard_at;   /**< When the report was received. */
+    uint32_t answer_age; /**< Age of its watch's latest response then; UINT32_MAX: none. */
+    uint64_t changed;    /**< Latest revision at which it saw a change. */
+    bool has_stores;     /**< It is connected directly to a quorum of storage nodes. */
+    bool renews;         /**< It is renewing, so that others may follow it. */
 } watch_report_t;
 
-/** This process's own watch. */
+/** State of this process's own watch. */
 typedef struct {
-    uint64_t known;        /**< Everything up to this revision has been seen. */
-    uint64_t answered_at;  /**< 0: never. */
-    uint64_t begun_at;     /**< Of the watch that waits now. */
-    uint64_t behind_since; /**< Since when a later change is known elsewhere; 0: none is. */
-    bool below;            /**< Another group of processes watches for this one's. */
+    uint64_t known;        /**< All changes up to this revision have been seen. */
+    uint64_t answered_at;  /**< Latest response; 0: never. */
+    uint64_t begun_at;     /**< Start of the pending watch. */
+    uint64_t behind_since; /**< Since when others report a later change; 0: none do. */
+    bool below;            /**< This process's group follows another group. */
 } watch_state_t;
 
 typedef struct {
-    bool on_duty;     /**< This process renews. */
-    uint32_t wait_ms; /**< For the next watch. */
-    bool renew;       /**< The one that waits now is to be given up for a new one. */
-    bool first;       /**< Of those that are up, fewer than WATCH_RENEWING come before it. */
-    bool patient;     /**< While the service is away, enough others ask often whether it is back. */
+    bool on_duty;     /**< This process is renewing. */
+    uint32_t wait_ms; /**< Wait of the next watch. */
+    bool renew;       /**< Cancel the pending watch and start a new one. */
+    bool first;       /**< Fewer than WATCH_RENEWING live processes precede it. */
+    bool patient;     /**< Retry slowly during an outage: enough others retry frequently. */
 } watch_decision_t;
 
 /**
- * The age to tell of a watch that was last answered at @p answered_at (0: never) and, if
- * @p failed_at is not 0, has failed since. A watch that fails is told as one that was never
- * answered, so that others take its duty over at once: where the service turned away just the
- * three on duty, nobody watched for 3.6 s, and a configuration came into force late.
+ * The age to report of a watch that was last answered at @p answered_at (0: never) and, if
+ * @p failed_at is not 0, has failed since. A failed watch is reported as never answered, so that
+ * other processes take over its role at once even if the service rejects only the renewing ones.
  */
 uint32_t watch_answer_age(uint64_t answered_at, uint64_t failed_at, uint64_t now);
 
 /**
- * True if a process's watch is in order as far as its report tells: answered within one wait, with
- * one report lost. @p renewing_period_ms: those that renew tell of an answer within this.
+ * True if a process's watch is healthy according to its report: it was answered within one wait,
+ * allowing for one lost report. @p renewing_period_ms: report period of renewing processes.
  */
 bool watch_duty_in_order(const watch_report_t *report, uint64_t renewing_period_ms, uint64_t now);
 
 /**
- * Decides from what @p count others told. @p tell_period_ms is how often one is told: if too
- * seldom, nobody rests. Keeps `behind_since` of @p own.
+ * Decides by the @p count reports of other processes and updates `behind_since` of @p own.
+ * @p report_period_ms: interval of the reports; if it is too long, no process rests.
  */
 watch_decision_t watch_duty_decide(watch_state_t *own, const watch_report_t *reports,
-                                   unsigned count, uint64_t tell_period_ms,
+                                   unsigned count, uint64_t report_period_ms,
                                    uint64_t renewing_period_ms, uint64_t now);
 
 #endif
