--- a/src/core/configuration/directory_pace.h
+++ b/src/core/configuration/directory_pace.h
@@ -31,7 +31,7 @@
     uint64_t revision; /**< Of its copy; 0: it has none. */
     size_t bytes;      /**< Size of its copy. */
     uint64_t taken_at; /**< When the copy was received; 0: never. */
-    uint64_t offered;  /**< Latest revision offered by a gateway; 0: none. */
+    uint64_t offered;  /**< Latest revision that a gateway offers; 0: none. */
     uint64_t asked_at; /**< When the outstanding request was sent; 0: there is none. */
 } directory_offer_t;
 
@@ -48,7 +48,7 @@
  */
 bool directory_answer_now(size_t waiting_there, size_t buffer_bytes, size_t memory_bytes);
 
-/** True if a storage node must now request the offered directory. */
+/** True if a storage node must now request the directory of the latest offer. */
 bool directory_pull_due(const directory_offer_t *offer, uint64_t now);
 
 #endif
--- a/src/core/quorum/copy_claims.c
+++ b/src/core/quorum/copy_claims.c
@@ -10,132 +10,132 @@
     uint64_t holders;   /**< Bit set of the sources that hold it. */
     int requested_from; /**< The source that it is requested from, or NO_SOURCE. */
     bool arrived;
-} claim_t;
+} fetch_record_t;
 
 typedef struct {
-    GQueue *queue;    /**< Of claim_t: listed records to examine; may contain duplicates. */
+    GQueue *queue;    /**< Of fetch_record_t: listed records to examine; may contain duplicates. */
     unsigned missing; /**< Listed records that have not arrived yet. */
 } source_t;
 
 struct copy_claims {
-    GHashTable *claims; /**< Id to claim_t; owns the values. */
+    GHashTable *records; /**< Id to fetch_record_t; owns the values. */
     unsigned count;
     source_t sources[COPY_SOURCES_MAXIMUM];
     uint64_t examined;
 };
 
-static void free_claim(gpointer data) {
-    claim_t *claim = data;
-    g_free(claim->id);
-    g_free(claim);
+static void free_record(gpointer data) {
+    fetch_record_t *record = data;
+    g_free(record->id);
+    g_free(record);
 }
 
 copy_claims_t *copy_claims_new(unsigned sources) {
-    copy_claims_t *claims = g_new0(copy_claims_t, 1);
-    claims->claims = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_claim);
-    claims->count = MIN(sources, (unsigned)COPY_SOURCES_MAXIMUM);
-    for (unsigned i = 0; i < claims->count; i++)
-        claims->sources[i].queue = g_queue_new();
-    return claims;
+    copy_claims_t *plan = g_new0(copy_claims_t, 1);
+    plan->records = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_record);
+    plan->count = MIN(sources, (unsigned)COPY_SOURCES_MAXIMUM);
+    for (unsigned i = 0; i < plan->count; i++)
+        plan->sources[i].queue = g_queue_new();
+    return plan;
 }
 
-void copy_claims_free(copy_claims_t *claims) {
-    for (unsigned i = 0; i < claims->count; i++)
-        g_queue_free(claims->sources[i].queue);
-    g_hash_table_destroy(claims->claims);
-    g_free(claims);
+void copy_claims_free(copy_claims_t *plan) {
+    for (unsigned i = 0; i < plan->count; i++)
+        g_queue_free(plan->sources[i].queue);
+    g_hash_table_destroy(plan->records);
+    g_free(plan);
 }
 
-static bool holds(const claim_t *claim, unsigned source) {
-    return (claim->holders >> source & 1) != 0;
+static bool holds(const fetch_record_t *record, unsigned source) {
+    return (record->holders >> source & 1) != 0;
 }
 
-static claim_t *obtain_claim(copy_claims_t *claims, const char *id) {
-    claim_t *claim = g_hash_table_lookup(claims->claims, id);
-    if (claim != NULL)
-        return claim;
-    claim = g_new0(claim_t, 1);
-    claim->id = g_strdup(id);
-    claim->requested_from = NO_SOURCE;
-    g_hash_table_insert(claims->claims, claim->id, claim);
-    return claim;
+static fetch_record_t *obtain_record(copy_claims_t *plan, const char *id) {
+    fetch_record_t *record = g_hash_table_lookup(plan->records, id);
+    if (record != NULL)
+        return record;
+    record = g_new0(fetch_record_t, 1);
+    record->id = g_strdup(id);
+    record->requested_from = NO_SOURCE;
+    g_hash_table_insert(plan->records, record->id, record);
+    return record;
 }
 
-void copy_claims_add(copy_claims_t *claims, unsigned source, const char *id) {
-    claim_t *claim = obtain_claim(claims, id);
-    claims->examined++;
-    if (claim->arrived || holds(claim, source))
+void copy_claims_add(copy_claims_t *plan, unsigned source, const char *id) {
+    fetch_record_t *record = obtain_record(plan, id);
+    plan->examined++;
+    if (record->arrived || holds(record, source))
         return;
-    claim->holders |= (uint64_t)1 << source;
-    claims->sources[source].missing++;
-    g_queue_push_tail(claims->sources[source].queue, claim);
+    record->holders |= (uint64_t)1 << source;
+    plan->sources[source].missing++;
+    g_queue_push_tail(plan->sources[source].queue, record);
 }
 
-const char *copy_claims_take(copy_claims_t *claims, unsigned source) {
-    GQueue *queue = claims->sources[source].queue;
+const char *copy_claims_take(copy_claims_t *plan, unsigned source) {
+    GQueue *queue = plan->sources[source].queue;
     while (!g_queue_is_empty(queue)) {
-        claim_t *claim = g_queue_pop_head(queue);
-        claims->examined++;
-        if (claim->arrived || claim->requested_from != NO_SOURCE || !holds(claim, source))
+        fetch_record_t *record = g_queue_pop_head(queue);
+        plan->examined++;
+        if (record->arrived || record->requested_from != NO_SOURCE || !holds(record, source))
             continue;
-        claim->requested_from = (int)source;
-        return claim->id;
+        record->requested_from = (int)source;
+        return record->id;
     }
     return NULL;
 }
 
-void copy_claims_arrived(copy_claims_t *claims, const char *id) {
-    claim_t *claim = g_hash_table_lookup(claims->claims, id);
-    if (claim == NULL || claim->arrived)
+void copy_claims_arrived(copy_claims_t *plan, const char *id) {
+    fetch_record_t *record = g_hash_table_lookup(plan->records, id);
+    if (record == NULL || record->arrived)
         return;
-    claim->arrived = true;
-    for (unsigned i = 0; i < claims->count; i++)
-        claims->sources[i].missing -= holds(claim, i);
+    record->arrived = true;
+    for (unsigned i = 0; i < plan->count; i++)
+        plan->sources[i].missing -= holds(record, i);
 }
 
 /** Removes the source from the holders of a record that has not arrived. */
-static void drop_holder(copy_claims_t *claims, claim_t *claim, unsigned source) {
-    if (claim->arrived || !holds(claim, source))
+static void drop_holder(copy_claims_t *plan, fetch_record_t *record, unsigned source) {
+    if (record->arrived || !holds(record, source))
         return;
-    claim->holders &= ~((uint64_t)1 << source);
-    claims->sources[source].missing--;
+    record->holders &= ~((uint64_t)1 << source);
+    plan->sources[source].missing--;
 }
 
 /** Makes a record available to all its holders again. */
-static void requeue(copy_claims_t *claims, claim_t *claim) {
-    claim->requested_from = NO_SOURCE;
-    for (unsigned i = 0; i < claims->count && !claim->arrived; i++)
-        if (holds(claim, i))
-            g_queue_push_tail(claims->sources[i].queue, claim);
+static void requeue(copy_claims_t *plan, fetch_record_t *record) {
+    record->requested_from = NO_SOURCE;
+    for (unsigned i = 0; i < plan->count && !record->arrived; i++)
+        if (holds(record, i))
+            g_queue_push_tail(plan->sources[i].queue, record);
 }
 
-void copy_claims_lacks(copy_claims_t *claims, unsigned source, const char *id) {
-    claim_t *claim = g_hash_table_lookup(claims->claims, id);
-    if (claim == NULL)
+void copy_claims_lacks(copy_claims_t *plan, unsigned source, const char *id) {
+    fetch_record_t *record = g_hash_table_lookup(plan->records, id);
+    if (record == NULL)
         return;
-    drop_holder(claims, claim, source);
-    if (claim->requested_from == (int)source)
-        requeue(claims, claim);
+    drop_holder(plan, record, source);
+    if (record->requested_from == (int)source)
+        requeue(plan, record);
 }
 
-void copy_claims_reset(copy_claims_t *claims, unsigned source) {
-    g_queue_clear(claims->sources[source].queue);
+void copy_claims_reset(copy_claims_t *plan, unsigned source) {
+    g_queue_clear(plan->sources[source].queue);
     GHashTableIter iterator;
     gpointer value;
-    g_hash_table_iter_init(&iterator, claims->claims);
+    g_hash_table_iter_init(&iterator, plan->records);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        claim_t *claim = value;
-        claims->examined++;
-        drop_holder(claims, claim, source);
-        if (claim->requested_from == (int)source)
-            requeue(claims, claim);
+        fetch_record_t *record = value;
+        plan->examined++;
+        drop_holder(plan, record, source);
+        if (record->requested_from == (int)source)
+            requeue(plan, record);
     }
 }
 
-unsigned copy_claims_left(const copy_claims_t *claims, unsigned source) {
-    return claims->sources[source].missing;
+unsigned copy_claims_left(const copy_claims_t *plan, unsigned source) {
+    return plan->sources[source].missing;
 }
 
-uint64_t copy_claims_looks(const copy_claims_t *claims) {
-    return claims->examined;
+uint64_t copy_claims_looks(const copy_claims_t *plan) {
+    return plan->examined;
 }
--- a/src/core/quorum/copy_claims.h
+++ b/src/core/quorum/copy_claims.h
@@ -23,24 +23,24 @@
 
 /** Sources are identified by index, from 0 to @p sources - 1. */
 copy_claims_t *copy_claims_new(unsigned sources);
-void copy_claims_free(copy_claims_t *claims);
+void copy_claims_free(copy_claims_t *plan);
 
 /** Records that the source holds record @p id, which the replica lacks. */
-void copy_claims_add(copy_claims_t *claims, unsigned source, const char *id);
+void copy_claims_add(copy_claims_t *plan, unsigned source, const char *id);
 /**
  * The next record to request from the source that is not requested elsewhere, or NULL. The string
- * is valid as long as @p claims.
+ * is valid as long as @p plan.
  */
-const char *copy_claims_take(copy_claims_t *claims, unsigned source);
+const char *copy_claims_take(copy_claims_t *plan, unsigned source);
 /** Marks the record as stored on this replica. */
-void copy_claims_arrived(copy_claims_t *claims, const char *id);
+void copy_claims_arrived(copy_claims_t *plan, const char *id);
 /** The source was asked for the record and no longer has it. */
-void copy_claims_lacks(copy_claims_t *claims, unsigned source, const char *id);
+void copy_claims_lacks(copy_claims_t *plan, unsigned source, const char *id);
 /** Discards what the source listed; records requested from it may be requested from others. */
-void copy_claims_reset(copy_claims_t *claims, unsigned source);
+void copy_claims_reset(copy_claims_t *plan, unsigned source);
 /** Number of records that the source listed and that have not arrived yet. */
-unsigned copy_claims_left(const copy_claims_t *claims, unsigned source);
+unsigned copy_claims_left(const copy_claims_t *plan, unsigned source);
 /** Number of records examined so far, as a measure of the work done. */
-uint64_t copy_claims_looks(const copy_claims_t *claims);
+uint64_t copy_claims_looks(const copy_claims_t *plan);
 
 #endif
--- a/src/core/turns/room_holds.h
+++ b/src/core/turns/room_holds.h
@@ -26,17 +26,17 @@
     uint64_t completed; /**< Number of calls in that average. */
 } room_holds_t;
 
-void room_holds_init(room_holds_t *holds);
-void room_holds_clear(room_holds_t *holds);
+void room_holds_init(room_holds_t *reservations);
+void room_holds_clear(room_holds_t *reservations);
 /** Reserves space for the turn of @p call; no effect if it has a reservation already. */
-void room_holds_begin(room_holds_t *holds, const char *call, uint64_t now);
+void room_holds_begin(room_holds_t *reservations, const char *call, uint64_t now);
 /** Ends the reservation of a call that wrote a turn of @p turn_bytes; 0: it wrote none. */
-void room_holds_end(room_holds_t *holds, const char *call, uint64_t turn_bytes);
+void room_holds_end(room_holds_t *reservations, const char *call, uint64_t turn_bytes);
 /** Ends the reservation of a call that was not run; the average is unaffected. */
-void room_holds_cancel(room_holds_t *holds, const char *call);
+void room_holds_cancel(room_holds_t *reservations, const char *call);
 /** Removes reservations that are ROOM_HOLD_MS old or older. */
-void room_holds_expire(room_holds_t *holds, uint64_t now);
+void room_holds_expire(room_holds_t *reservations, uint64_t now);
 /** Bytes reserved for all calls; @p mean_before is the mean to use until a call has completed. */
-uint64_t room_holds_bytes(const room_holds_t *holds, uint64_t mean_before);
+uint64_t room_holds_bytes(const room_holds_t *reservations, uint64_t mean_before);
 
 #endif
