--- a/tests/unit/configuration_test.cc
+++ b/tests/unit/configuration_test.cc
@@ -52,7 +52,7 @@
     }
 };
 
-TEST_F(EditLog, AppliesInOrderAndNeverGoesBack) {
+TEST_F(EditLog, AppliesInOrderAndNeverReverts) {
     EXPECT_EQ(apply(1, "template/plan", template_text, 0), EDIT_APPLIED);
     EXPECT_EQ(apply(3, "tenant/town", tenant_text(), 0), EDIT_GAP);
     EXPECT_EQ(apply(2, "tenant/town", tenant_text(), 0), EDIT_APPLIED);
@@ -61,14 +61,14 @@
     EXPECT_NE(configuration_tenant(edit_log_configuration(log), "town"), nullptr);
 }
 
-TEST_F(EditLog, RacingEditsOfOneObjectConflict) {
+TEST_F(EditLog, ConcurrentEditsOfOneObjectConflict) {
     apply(1, "template/plan", template_text, 0);
     EXPECT_EQ(apply(2, "template/plan", template_text, 0), EDIT_REJECTED);
     EXPECT_EQ(error->code, RUDDERWAY_ERROR_EDIT_CONFLICT);
     EXPECT_NE(std::string(error->message).find("at revision 1"), std::string::npos);
 }
 
-TEST_F(EditLog, MistakesNameLineAndKey) {
+TEST_F(EditLog, ErrorsNameLineAndKey) {
     std::string wrong = template_text;
     wrong.replace(wrong.find("1000"), 4, "-5");
     EXPECT_EQ(apply(1, "template/plan", wrong, 0), EDIT_REJECTED);
@@ -83,14 +83,14 @@
     EXPECT_EQ(revision(), 0u);
 }
 
-TEST_F(EditLog, TenantMayNotNameAMissingTemplate) {
+TEST_F(EditLog, ATenantMayNotReferToAMissingTemplate) {
     EXPECT_EQ(apply(1, "tenant/town", tenant_text(), 0), EDIT_REJECTED);
     apply(1, "template/plan", template_text, 0);
     apply(2, "tenant/town", tenant_text(), 0);
-    EXPECT_EQ(apply(3, "template/plan", "", 1), EDIT_REJECTED) << "still referred to";
+    EXPECT_EQ(apply(3, "template/plan", "", 1), EDIT_REJECTED) << "a tenant still refers to it";
 }
 
-TEST_F(EditLog, LaggardGetsEditsOrASnapshot) {
+TEST_F(EditLog, ALaggingNodeGetsEditsOrASnapshot) {
     apply(1, "template/plan", template_text, 0);
     apply(2, "tenant/town", tenant_text(), 0);
     for (uint64_t i = 3; i < 2500; i++)
@@ -126,7 +126,7 @@
     json_decref(parameters);
 }
 
-TEST_F(EditLog, EditsSurviveJson) {
+TEST_F(EditLog, EditsRoundTripThroughJson) {
     edit_t *edit = edit_new("id", "me", 5);
     edit_add(edit, "template/plan", template_text, 3);
     json_t *value = edit_to_json(edit);
--- a/tests/unit/directory_pace_test.cc
+++ b/tests/unit/directory_pace_test.cc
@@ -1,4 +1,4 @@
-// When gateways that start without the key-value service ask for the directory, and get it.
+// Pacing of directory transfers between starting gateways and storage nodes.
 #include <gtest/gtest.h>
 
 extern "C" {
@@ -11,8 +11,8 @@
 constexpr size_t memory = 120 * megabyte;
 constexpr size_t directory = 400 * 1024;
 
-// Gateways asked ten times a second, each answer was queued, and storage nodes ran out of memory.
-TEST(DirectoryPace, AskedOnceASecond) {
+// Frequent requests would queue many responses and exhaust the memory of storage nodes.
+TEST(DirectoryPace, RequestsOnceASecond) {
     unsigned asked = 0;
     uint64_t asked_at = 0;
     for (uint64_t now = 5000; now < 8000; now += 100)
@@ -23,12 +23,12 @@
     EXPECT_EQ(asked, 3U);
 }
 
-TEST(DirectoryPace, AGatewayThatHasAnAnswerOnItsWayGetsNoSecondOne) {
+TEST(DirectoryPace, AGatewayGetsOneResponseAtATime) {
     EXPECT_TRUE(directory_answer_now(200, 200, memory));
     EXPECT_FALSE(directory_answer_now(directory, directory, memory));
 }
 
-TEST(DirectoryPace, AnswersThatWaitStayWithinAShareOfTheMemory) {
+TEST(DirectoryPace, QueuedResponsesStayWithinAShareOfMemory) {
     size_t waiting = 0;
     for (unsigned gateway = 0; gateway < 259; gateway++)
         if (directory_answer_now(0, waiting, memory))
@@ -37,18 +37,18 @@
     EXPECT_LE(waiting, memory / 10 + directory);
 }
 
-// 865 gateways gave each storage node 2.5 MB at once.
-TEST(DirectoryPace, ADirectoryIsTakenFromOneGatewayAtATime) {
+// Simultaneous transfers from all gateways would exhaust the memory of a storage node.
+TEST(DirectoryPace, ADirectoryIsPulledFromOneGatewayAtATime) {
     directory_offer_t offer = {};
     EXPECT_FALSE(directory_pull_due(&offer, 1000)) << "nothing is offered";
     offer.offered = 7;
     EXPECT_TRUE(directory_pull_due(&offer, 1000));
     offer.asked_at = 1000;
     EXPECT_FALSE(directory_pull_due(&offer, 1000 + DIRECTORY_PULL_MS - 1));
-    EXPECT_TRUE(directory_pull_due(&offer, 1000 + DIRECTORY_PULL_MS)) << "it gave nothing";
+    EXPECT_TRUE(directory_pull_due(&offer, 1000 + DIRECTORY_PULL_MS)) << "the request timed out";
 }
 
-TEST(DirectoryPace, OnlyANewerDirectoryIsTakenAndLargeOnesSeldom) {
+TEST(DirectoryPace, OnlyANewerDirectoryIsPulledAtALimitedRate) {
     directory_offer_t offer = {7, directory, 5000, 7, 0};
     EXPECT_FALSE(directory_pull_due(&offer, 100000));
     offer.offered = 8;
--- a/tests/unit/lapse_test.cc
+++ b/tests/unit/lapse_test.cc
@@ -1,8 +1,5 @@
-// Back ends whose entries lapse while the key-value service is away. What happens: the service is
-// away for longer than entries live, so that all lapse; it comes back, and gateways see a directory
-// with hardly any back end in it for some hundred ms, until the back ends have written theirs
-// again. Calls were refused meanwhile although all back ends lived: 208 with reason=no_backend in
-// the 0.5 s after one outage of 5 s, beside lines E838 with backends=1 and 2 of 80.
+// Back ends whose entries expired during an outage of the key-value service must remain in use
+// until they could write them again; otherwise calls are refused although all back ends are live.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -14,32 +11,32 @@
 
 namespace {
 
-TEST(Lapse, EntriesThatAreGoneRightAfterAnOutageAreKeptForAWhile) {
+TEST(Lapse, EntriesMissingAfterAnOutageHaveAGracePeriod) {
     lapse_signs_t signs = {0, 10000};
     EXPECT_EQ(lapse_kept_until(&signs, 10000), 12000U);
     EXPECT_EQ(lapse_kept_until(&signs, 11999), 12000U);
     EXPECT_EQ(lapse_kept_until(&signs, 12000), 0U);
 }
 
-// Another gateway has seen the service come back before this one has.
-TEST(Lapse, EntriesThatAreGoneWhileTheServiceIsAwayAreKeptForAWhile) {
+// The update may come through another gateway that reached the service earlier.
+TEST(Lapse, EntriesMissingDuringAnOutageHaveAGracePeriod) {
     lapse_signs_t signs = {10000, 0};
     EXPECT_EQ(lapse_kept_until(&signs, 11000), 13000U);
     EXPECT_EQ(lapse_kept_until(&signs, 11500), 0U);
 }
 
-TEST(Lapse, EntriesThatAreGoneWithoutAnOutageAreGone) {
+TEST(Lapse, EntriesMissingWithoutAnOutageAreRemoved) {
     lapse_signs_t signs = {0, 0};
     EXPECT_EQ(lapse_kept_until(&signs, 100), 0U);
 }
 
-class LapsedBackends : public testing::Test {
+class ExpiredBackends : public testing::Test {
   protected:
-    LapsedBackends() {
+    ExpiredBackends() {
         uv_loop_init(&loop);
         backends_init(&backends, &loop, "here", "10.0.0.1:77");
     }
-    ~LapsedBackends() override {
+    ~ExpiredBackends() override {
         backends_clear(&backends);
         uv_loop_close(&loop);
     }
@@ -66,7 +63,7 @@
     backends_t backends;
 };
 
-TEST_F(LapsedBackends, AreUsedUntilTheirTimeIsOver) {
+TEST_F(ExpiredBackends, AreUsedDuringTheGracePeriod) {
     list("a");
     EXPECT_TRUE(backends_lapse(&backends, "a", now() + 1000));
     EXPECT_TRUE(chosen());
@@ -74,7 +71,7 @@
     EXPECT_EQ(backends_count(&backends), 1U);
 }
 
-TEST_F(LapsedBackends, AreNotUsedAndRemovedOnceItIs) {
+TEST_F(ExpiredBackends, AreRemovedAfterTheGracePeriod) {
     list("a");
     EXPECT_TRUE(backends_lapse(&backends, "a", now()));
     EXPECT_FALSE(chosen());
@@ -82,7 +79,7 @@
     EXPECT_EQ(backends_count(&backends), 0U);
 }
 
-TEST_F(LapsedBackends, StayOnceTheirEntriesAreBack) {
+TEST_F(ExpiredBackends, StayOnceTheirEntriesAreWrittenAgain) {
     list("a");
     EXPECT_TRUE(backends_lapse(&backends, "a", now()));
     list("a");
@@ -90,7 +87,7 @@
     EXPECT_EQ(backends_expire_lapsed(&backends), 0U);
 }
 
-TEST_F(LapsedBackends, ThatWereLeavingAreGoneAtOnce) {
+TEST_F(ExpiredBackends, ThatWereLeavingAreRemovedAtOnce) {
     list("a", true);
     EXPECT_FALSE(backends_lapse(&backends, "a", now() + 1000));
     EXPECT_EQ(backends_count(&backends), 0U);
--- a/tests/unit/listing_turn_test.cc
+++ b/tests/unit/listing_turn_test.cc
@@ -1,4 +1,4 @@
-// Which of many gateways that start list the key-value service to its end.
+// Limits how many of the gateways that start at once list the key-value service.
 #include <gtest/gtest.h>
 
 extern "C" {
@@ -15,7 +15,7 @@
     return {start, told, rank, below, false, 0, 1000};
 }
 
-TEST(ListingTurn, OnlyTheFirstOfTheRootGoOnSoon) {
+TEST(ListingTurn, OnlyTheFirstOfTheRootCellListSoon) {
     for (unsigned rank = 0; rank < 100; rank++) {
         listing_turn_t turn = turn_of(rank, false);
         EXPECT_FALSE(listing_turn_due(&turn, told + LISTING_SETTLE_MS - 1));
@@ -25,13 +25,13 @@
     }
 }
 
-TEST(ListingTurn, TheNextTakeTheirPlaceIfTheyDont) {
+TEST(ListingTurn, TheNextListIfTheFirstDoNot) {
     listing_turn_t turn = turn_of(WATCH_RENEWING, false);
     EXPECT_FALSE(listing_turn_due(&turn, told + LISTING_SETTLE_MS + LISTING_EACH_MS - 1));
     EXPECT_TRUE(listing_turn_due(&turn, told + LISTING_SETTLE_MS + LISTING_EACH_MS));
 }
 
-TEST(ListingTurn, AnyGatewayGoesOnInTheEndAtATimeOfItsOwn) {
+TEST(ListingTurn, AnyGatewayListsAfterItsTimeoutAndJitter) {
     listing_turn_t turn = turn_of(500, true);
     EXPECT_FALSE(listing_turn_due(&turn, start + LISTING_MOST_MS + turn.spread_ms - 1));
     EXPECT_TRUE(listing_turn_due(&turn, start + LISTING_MOST_MS + turn.spread_ms));
@@ -40,9 +40,9 @@
     EXPECT_TRUE(listing_turn_due(&turn, start + LISTING_MOST_MS + turn.spread_ms));
 }
 
-// One gateway of 865 served an old configuration for 6 s after a loss of power. Counted from the
-// start of the process, all 865 asked while 10,000 back ends registered.
-TEST(ListingTurn, OneWithAKeptViewHasItConfirmedWithinFourAndAHalfSecondsOfIt) {
+// A view from a storage node may hold an old configuration, so it must be confirmed soon; the
+// timeout counts from the view, when the back ends of a starting system have registered.
+TEST(ListingTurn, AViewFromAStorageNodeIsConfirmedWithin4500Ms) {
     constexpr uint64_t kept = start + 3000;
     listing_turn_t turn = turn_of(500, true);
     turn.kept_at = kept;
@@ -55,8 +55,8 @@
     EXPECT_FALSE(listing_turn_due(&turn, kept + 4500)) << "it follows another gateway";
 }
 
-// Without storage nodes nobody can give it a view; calls to plain services can still be served.
-TEST(ListingTurn, OneThatReachesNoStorageNodeListsSooner) {
+// Without storage nodes it cannot receive a view, but can serve calls that need none of them.
+TEST(ListingTurn, AGatewayWithoutStorageNodesListsSooner) {
     listing_turn_t turn = turn_of(500, false);
     turn.told_at = 0;
     turn.lone = true;
@@ -64,8 +64,8 @@
     EXPECT_TRUE(listing_turn_due(&turn, start + LISTING_LONE_MS + turn.spread_ms));
 }
 
-// 865 gateways listed 52 pages each: 45,000 calls where the service answers 16,000 a second.
-TEST(ListingTurn, ThoseThatListDoNotGrowWithTheFleet) {
+// The listings of all gateways together would exceed the call rate of the service.
+TEST(ListingTurn, TheNumberOfListingsDoesNotGrowWithTheFleet) {
     for (unsigned gateways : {30U, 300U, 3300U}) {
         unsigned listing = 0;
         for (unsigned rank = 0; rank < gateways; rank++) {
--- a/tests/unit/record_clock_test.cc
+++ b/tests/unit/record_clock_test.cc
@@ -1,5 +1,4 @@
-// The time by which a storage node's records age: it goes on over restarts and stands while the
-// node is down.
+// The clock by which records expire must continue across restarts and stop while the node is down.
 extern "C" {
 #include "core/turns/record_clock.h"
 }
@@ -10,7 +9,7 @@
 
 namespace {
 
-/** A node that writes marks and is started again; the caller's time begins anew each time. */
+/** A node that writes marks and restarts; the caller's time restarts at 0 each time. */
 class Node {
   public:
     void start() {
@@ -19,7 +18,7 @@
             record_clock_read(&clock, mark);
         record_clock_run(&clock, 0);
     }
-    /** Writes a record each 100 ms until @p until. */
+    /** Writes a record every 100 ms until @p until. */
     void write(uint64_t until) {
         uint64_t mark = 0;
         for (uint64_t now = 0; now <= until; now += 100)
@@ -35,7 +34,7 @@
     record_clock_t clock = {};
 };
 
-TEST(RecordClock, GoesOnFromWhereTheLogEnded) {
+TEST(RecordClock, ContinuesFromTheEndOfTheLog) {
     Node node;
     node.start();
     EXPECT_EQ(node.time(0), 0U);
@@ -48,14 +47,14 @@
     EXPECT_EQ(node.time(0), 65000U);
 }
 
-TEST(RecordClock, MarksAboutOnceASecondOfRecords) {
+TEST(RecordClock, WritesAMarkEverySecond) {
     Node node;
     node.start();
     node.write(10000);
     EXPECT_EQ(node.marks.size(), 11U);
 }
 
-TEST(RecordClock, MarksAtOnceAfterAStart) {
+TEST(RecordClock, WritesAMarkAtOnceAfterARestart) {
     Node node;
     node.start();
     node.write(0);
@@ -64,7 +63,7 @@
     EXPECT_EQ(node.marks.size(), 2U);
 }
 
-TEST(RecordClock, ALostMarkMakesRecordsYoungerNeverOlder) {
+TEST(RecordClock, ALostMarkNeverMakesRecordsOlder) {
     Node node;
     node.start();
     node.write(60000);
@@ -73,7 +72,7 @@
     EXPECT_EQ(node.time(0), 59000U);
 }
 
-TEST(RecordClock, CountsFromTheFirstMarkThatIsLeftOfTheLog) {
+TEST(RecordClock, CountsFromTheFirstRemainingMark) {
     Node node;
     node.start();
     node.write(60000);
@@ -84,14 +83,14 @@
     EXPECT_EQ(node.marks.back(), 62000U);
 }
 
-TEST(RecordClock, ALogWithoutMarksIsAsYoungAsItCanBe) {
+TEST(RecordClock, ALogWithoutMarksHasNoAge) {
     Node node;
     node.start();
     EXPECT_EQ(node.time(0), 0U);
     EXPECT_EQ(node.time(1000), 1000U);
 }
 
-TEST(RecordClock, AMarkOfBeforeDoesNotTakeItBack) {
+TEST(RecordClock, AnEarlierMarkDoesNotSetTheClockBack) {
     record_clock_t clock = {};
     record_clock_read(&clock, 5000);
     record_clock_read(&clock, 9000);
--- a/tests/unit/record_digest_test.cc
+++ b/tests/unit/record_digest_test.cc
@@ -1,5 +1,5 @@
-// Digests of what two replicas hold: equal sets agree, and what differs lies in a bucket that
-// differs.
+// Replicas with equal records must have equal digests; differing records must be in differing
+// buckets.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -37,7 +37,7 @@
             reserve("call" + std::to_string(i));
         }
     }
-    /** A reserve that is on disk. */
+    /** Adds a reserve that is on disk. */
     void reserve(const std::string &call) {
         budget_table_reserve(&budgets, "p", call.c_str(), 9, now);
         note_kept(call, 9, false);
@@ -66,7 +66,7 @@
     return memcmp(&a, &b, sizeof a) == 0;
 }
 
-TEST(RecordDigest, EqualSetsAgreeWhateverTheOrder) {
+TEST(RecordDigest, EqualSetsHaveEqualDigestsInAnyOrder) {
     Replica a, b;
     a.fill(0, 1000);
     b.fill(500, 1000);
@@ -74,7 +74,7 @@
     EXPECT_TRUE(same(a.digest(), b.digest()));
 }
 
-TEST(RecordDigest, WhatOneLacksIsInABucketThatDiffers) {
+TEST(RecordDigest, MissingRecordsAreInDifferingBuckets) {
     Replica a, b;
     a.fill(0, 1000);
     b.fill(0, 997);
@@ -92,7 +92,7 @@
         }
         sent += turn_sent;
     }
-    EXPECT_LT(sent, 30U) << "little more than what differs is sent";
+    EXPECT_LT(sent, 30U) << "few equal records are sent beside those that differ";
 }
 
 TEST(RecordDigest, ASettledChargeDiffersFromItsReserve) {
@@ -106,7 +106,7 @@
     EXPECT_TRUE(record_digest_same_turns(&own, &theirs, "turn3"));
 }
 
-// A reserve that failed to reach the disk is no copy: what is in memory only must be copied.
+// A reserve whose write failed exists in memory only and must still be copied.
 TEST(RecordDigest, AReserveInMemoryOnlyDiffersFromOneOnDisk) {
     Replica a, b;
     a.fill(0, 10);
@@ -120,7 +120,7 @@
     EXPECT_TRUE(same(a.digest(), b.digest()));
 }
 
-TEST(RecordDigest, WhatExpiresLeavesTheDigest) {
+TEST(RecordDigest, ExpiredRecordsLeaveTheDigest) {
     Replica a, empty;
     a.fill(0, 100);
     turn_table_expire(&a.turns, now + 60000);
@@ -128,7 +128,7 @@
     EXPECT_TRUE(same(a.digest(), empty.digest()));
 }
 
-TEST(RecordDigest, IsReadBackAsItWasSent) {
+TEST(RecordDigest, EncodingRoundTrips) {
     Replica a;
     a.fill(0, 100);
     record_digest_t own = a.digest();
@@ -139,7 +139,7 @@
     g_bytes_unref(bytes);
 }
 
-TEST(RecordDigest, WithoutADigestEverythingDiffers) {
+TEST(RecordDigest, AnInvalidDigestEqualsThatOfEmptyTables) {
     Replica a, empty;
     a.fill(0, 100);
     record_digest_t own = a.digest();
--- a/tests/unit/room_holds_test.cc
+++ b/tests/unit/room_holds_test.cc
@@ -1,4 +1,4 @@
-// The room that a storage node holds for turns that have begun.
+// Space that a storage node reserves for the turns of calls in progress.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,45 +19,45 @@
     ~RoomHolds() override {
         room_holds_clear(&holds);
     }
-    uint64_t held() const {
+    uint64_t reserved() const {
         return room_holds_bytes(&holds, mean_before);
     }
 
     room_holds_t holds;
 };
 
-TEST_F(RoomHolds, CallsCountWithTheMeanOfThoseBefore) {
-    EXPECT_EQ(held(), 0u);
+TEST_F(RoomHolds, CallsCountWithTheMeanOfEarlierOnes) {
+    EXPECT_EQ(reserved(), 0u);
     room_holds_begin(&holds, "a", 0);
     room_holds_begin(&holds, "b", 0);
     room_holds_begin(&holds, "c", 0);
-    EXPECT_EQ(held(), 3 * mean_before);
+    EXPECT_EQ(reserved(), 3 * mean_before);
     room_holds_end(&holds, "a", 1000);
-    EXPECT_EQ(held(), 2000u);
+    EXPECT_EQ(reserved(), 2000u);
     room_holds_end(&holds, "b", 2600);
-    EXPECT_EQ(held(), 1100u);
+    EXPECT_EQ(reserved(), 1100u);
 }
 
-TEST_F(RoomHolds, ACallThatBringsNoTurnLowersTheMean) {
+TEST_F(RoomHolds, ACallWithoutATurnLowersTheMean) {
     room_holds_begin(&holds, "a", 0);
     room_holds_begin(&holds, "b", 0);
     room_holds_begin(&holds, "c", 0);
     room_holds_end(&holds, "a", 1600);
     room_holds_end(&holds, "b", 0);
-    EXPECT_EQ(held(), 1500u);
+    EXPECT_EQ(reserved(), 1500u);
 }
 
-// Near the limit most calls are refused: the few that run are as large as before.
-TEST_F(RoomHolds, ACallThatWasNotRunLeavesTheMean) {
+// Near the limit most calls are refused, which must not lower the estimate of the others.
+TEST_F(RoomHolds, ACallThatWasNotRunDoesNotChangeTheMean) {
     room_holds_begin(&holds, "a", 0);
     room_holds_begin(&holds, "b", 0);
     room_holds_begin(&holds, "c", 0);
     room_holds_end(&holds, "a", 1600);
     room_holds_cancel(&holds, "b");
-    EXPECT_EQ(held(), 1600u);
+    EXPECT_EQ(reserved(), 1600u);
 }
 
-// A reserve or a turn may come more than once, and a settled call after its turn.
+// Reserves and turns may be repeated, and a settlement may follow its call's turn.
 TEST_F(RoomHolds, EachCallCountsOnce) {
     room_holds_begin(&holds, "a", 0);
     room_holds_begin(&holds, "a", 1);
@@ -65,18 +65,18 @@
     room_holds_end(&holds, "a", 1600);
     room_holds_end(&holds, "a", 0);
     room_holds_cancel(&holds, "a");
-    EXPECT_EQ(held(), 1600u);
+    EXPECT_EQ(reserved(), 1600u);
 }
 
-TEST_F(RoomHolds, CallsOfALostGatewayAreForgotten) {
+TEST_F(RoomHolds, ReservationsOfAFailedGatewayExpire) {
     room_holds_begin(&holds, "a", 0);
     room_holds_begin(&holds, "b", 10);
     room_holds_expire(&holds, ROOM_HOLD_MS - 1);
-    EXPECT_EQ(held(), 2 * mean_before);
+    EXPECT_EQ(reserved(), 2 * mean_before);
     room_holds_expire(&holds, ROOM_HOLD_MS);
-    EXPECT_EQ(held(), mean_before);
+    EXPECT_EQ(reserved(), mean_before);
     room_holds_end(&holds, "b", 50);
-    EXPECT_EQ(held(), 0u);
+    EXPECT_EQ(reserved(), 0u);
 }
 
 } // namespace
--- a/tests/unit/store_group_choice_test.cc
+++ b/tests/unit/store_group_choice_test.cc
@@ -1,4 +1,4 @@
-// How large the store group is, who belongs to it, and who stands by first.
+// Size of the store group, selection of its members, and order of its spares.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -40,14 +40,14 @@
     store_group_t *candidates;
 };
 
-TEST_F(StoreGroupChoice, MajorityOutlivesTheLossesBesideAReplacement) {
+TEST_F(StoreGroupChoice, AWriteQuorumSurvivesTheLossesAndAReplacement) {
     for (unsigned losses = 0; losses < 4; losses++) {
         unsigned size = store_group_size(losses);
         EXPECT_GE(size - losses - 1, store_write_quorum(size));
     }
 }
 
-TEST_F(StoreGroupChoice, ManyNodesMakeNoLargerGroup) {
+TEST_F(StoreGroupChoice, GroupSizeDoesNotGrowWithTheNodes) {
     add_candidates(6, 6);
     store_group_fill(group->members, candidates->members, store_group_size(2));
     EXPECT_EQ(group->members->len, store_group_size(2));
@@ -62,13 +62,13 @@
         EXPECT_TRUE(count == 2 || count == 3) << zone;
 }
 
-TEST_F(StoreGroupChoice, FewNodesAllBelong) {
+TEST_F(StoreGroupChoice, AllNodesAreMembersIfThereAreFew) {
     add_candidates(3, 1);
     store_group_fill(group->members, candidates->members, store_group_size(1));
     EXPECT_EQ(group->members->len, 3U);
 }
 
-TEST_F(StoreGroupChoice, EachThatStandsByHasItsOwnRank) {
+TEST_F(StoreGroupChoice, EachSpareHasItsOwnRank) {
     add_candidates(3, 4);
     store_group_fill(group->members, candidates->members, 7);
     std::map<unsigned, unsigned> ranks;
@@ -82,9 +82,9 @@
     EXPECT_EQ(ranks.rbegin()->first, 4U);
 }
 
-TEST_F(StoreGroupChoice, ANodeOfTheZoneThatLostItsMemberStandsByFirst) {
+TEST_F(StoreGroupChoice, ASpareOfTheZoneWithoutMembersIsFirst) {
     add_candidates(3, 2);
-    // One member each in zones a and b, none in c any more.
+    // One member each in zones a and b, none left in c.
     store_group_add(group->members, "store-a-0", "127.0.0.1:1", "a");
     store_group_add(group->members, "store-b-0", "127.0.0.1:1", "b");
     EXPECT_EQ(rank("store-c-0"), 0U);
--- a/tests/unit/turns_test.cc
+++ b/tests/unit/turns_test.cc
@@ -1,4 +1,4 @@
-// Turns, budgets, the store group's arithmetic, and messages.
+// Turn and budget tables, quorum sizes of the store group, and message encoding.
 #include <glib.h>
 
 extern "C" {
@@ -64,7 +64,7 @@
     EXPECT_EQ(turn_table_find(&table, "a"), nullptr);
 }
 
-TEST_F(TurnTable, SeveralTurnsMayGoOnFromOne) {
+TEST_F(TurnTable, SeveralTurnsMayContinueOne) {
     add("a", "", 0);
     add("b", "a", 100);
     add("c", "a", 500);
@@ -74,8 +74,8 @@
     EXPECT_NE(turn_table_find(&table, "c"), nullptr);
 }
 
-// A replica that copies turns is sent new ones meanwhile, before those that they go on from.
-TEST_F(TurnTable, KeepsATurnThatComesAfterOneThatGoesOnFromIt) {
+// A replica that catches up may receive new turns before their ancestors.
+TEST_F(TurnTable, KeepsATurnThatArrivesAfterItsChild) {
     add("c", "b", 900);
     add("b", "a", 0);
     add("a", "", 0);
@@ -87,7 +87,7 @@
     EXPECT_EQ(turn_table_find(&table, "a"), nullptr);
 }
 
-TEST_F(TurnTable, ForgetsWhatIsMissingWithTheTurnsThatWantIt) {
+TEST_F(TurnTable, ForgetsAMissingTurnOnceItsDescendantsExpire) {
     add("b", "a", 0);
     turn_table_expire(&table, 999);
     EXPECT_EQ(g_hash_table_size(table.missing_until), 1u);
@@ -95,7 +95,7 @@
     EXPECT_EQ(g_hash_table_size(table.missing_until), 0u);
 }
 
-TEST_F(TurnTable, TellsHowLongATurnIsKeptYet) {
+TEST_F(TurnTable, ReturnsTheRemainingTime) {
     add("a", "", 0);
     add("b", "a", 600);
     EXPECT_EQ(turn_table_time_left(&table, "a", 700), 900u);
@@ -113,7 +113,7 @@
     EXPECT_EQ(std::string(static_cast<const char *>(data), length), "in");
 }
 
-TEST_F(TurnTable, ATurnBelongsToItsTenantAndOneWithoutToAnybody) {
+TEST_F(TurnTable, OnlyTheTenantMayContinueItsTurn) {
     turn_t turn = make_turn("a", "");
     EXPECT_TRUE(turn_belongs_to(&turn, "one"));
     EXPECT_TRUE(turn_belongs_to(&turn, ""));
@@ -126,7 +126,7 @@
     EXPECT_FALSE(turn_belongs_to(kept, ""));
 }
 
-TEST_F(TurnTable, ASegmentIsNeededAsLongAsAChainThatBeginsInIt) {
+TEST_F(TurnTable, ASegmentIsKeptAsLongAsTheChainsThatStartInIt) {
     add("a", "", 0, 1);
     add("b", "a", 900, 2);
     EXPECT_FALSE(turn_table_segment_unneeded(&table, 1, 1500));
@@ -164,7 +164,7 @@
     budget_table_clear(&other);
 }
 
-TEST(BudgetDecision, TakesAQuorumOfEqualSummariesOrNone) {
+TEST(BudgetDecision, RequiresAQuorumOfEqualSummaries) {
     const budget_summary_t a = {90, 1};
     const budget_summary_t b = {90, 2};
     const budget_summary_t over = {101, 3};
@@ -176,7 +176,7 @@
     EXPECT_EQ(budget_decide(nullptr, 0, 1, 100), BUDGET_UNDECIDED);
 }
 
-// Each replica lacks another charge, and each by itself is within the budget.
+// Each replica lacks a different charge, and each by itself is within the budget.
 TEST(BudgetDecision, ReplicasThatEachLackACharge) {
     const char *calls[] = {"1", "2", "3", "4"};
     budget_table_t replicas[3];
@@ -203,7 +203,7 @@
     budget_table_clear(&joined);
 }
 
-TEST_F(BudgetTable, SettlingFreesWhatWasNotMade) {
+TEST_F(BudgetTable, SettlingReleasesUnusedTokens) {
     budget_table_reserve(&table, "p", "1", 60, 0);
     budget_table_settle(&table, "p", "1", 10, 0);
     EXPECT_EQ(budget_table_charged(&table, "p"), 10u);
@@ -232,8 +232,8 @@
     EXPECT_EQ(budget_table_charged(&table, "p"), 20u);
 }
 
-// Full or failing disk: the reserve is in memory, its write failed.
-TEST(ReplicaBudgets, CoverOnlyWhatIsOnDisk) {
+// With a full or failing disk the reserve is in memory although its write failed.
+TEST(ReplicaBudgets, CoverOnlyChargesOnDisk) {
     budget_table_t replica;
     budget_table_init_replica(&replica);
     char program[] = "p";
@@ -246,14 +246,14 @@
     EXPECT_TRUE(budget_table_covers(&replica, &reserve));
     budget_table_settle(&replica, "p", "1", 20, 0);
     budget_table_note_kept(&replica, &reserve);
-    EXPECT_FALSE(budget_table_covers(&replica, &reserve)) << "the reserve's write came late";
+    EXPECT_FALSE(budget_table_covers(&replica, &reserve)) << "the reserve's write completed late";
     budget_table_note_kept(&replica, &settled);
     EXPECT_TRUE(budget_table_covers(&replica, &settled));
     EXPECT_TRUE(budget_table_covers(&replica, &reserve));
     budget_table_clear(&replica);
 }
 
-TEST_F(BudgetTable, ForgetsOnlyProgramsThatRest) {
+TEST_F(BudgetTable, ExpiresOnlyInactivePrograms) {
     budget_table_reserve(&table, "old", "1", 60, 10);
     budget_table_reserve(&table, "new", "1", 60, 20);
     budget_table_expire(&table, 20);
@@ -268,9 +268,9 @@
     }
 }
 
-// A member complete in the next generation was shown the records of a read quorum of the old ones,
-// which answer in the old generation no more; those that are left must be too few to deny.
-TEST(StoreGroup, WhatAnOldGenerationCanLeaveBehindIsTooFewToDeny) {
+// Members of the old generation that did not take part in the catch-up of the next one must be too
+// few to report its records as absent.
+TEST(StoreGroup, TheRestOfAnOldGenerationIsNoAbsenceQuorum) {
     for (unsigned members = 1; members < 20; members++) {
         unsigned left_behind = members - store_read_quorum(members);
         EXPECT_LT(left_behind, store_absence_quorum(members)) << members;
@@ -278,8 +278,8 @@
     }
 }
 
-TEST(StoreGroup, ATurnIsDurableOnlyWithACopyByACompleteMember) {
-    EXPECT_FALSE(store_turn_durable(3, 2, 0)) << "nobody in the old generation need know of this";
+TEST(StoreGroup, ADurableTurnHasACopyOnACompleteMember) {
+    EXPECT_FALSE(store_turn_durable(3, 2, 0)) << "the old generation may not know of this one";
     EXPECT_TRUE(store_turn_durable(3, 2, 1));
     EXPECT_FALSE(store_turn_durable(3, 1, 1));
     EXPECT_FALSE(store_turn_durable(4, 2, 2));
@@ -295,7 +295,7 @@
     return group;
 }
 
-TEST(StoreGroup, AMemberThatKeptItsDiskCopiesFromAReadQuorumOfTheGenerationBefore) {
+TEST(StoreGroup, AMemberWithItsDiskCopiesFromThePreviousGeneration) {
     store_group_t *group = make_group({"a", "b", "c", "d"});
     store_group_t *next = store_group_next(group);
     store_group_add(next->members, "a", "127.0.0.1:1", "z");
@@ -303,17 +303,17 @@
     store_group_add(next->members, "e", "127.0.0.1:1", "z");
     store_catch_up_t kept = store_group_catch_up(next, "a", 1);
     EXPECT_EQ(kept.sources, next->previous);
-    EXPECT_EQ(kept.needed, 1u); // Two of four, and it is one of them.
+    EXPECT_EQ(kept.needed, 1u); // The read quorum is 2, itself included.
     EXPECT_EQ(kept.source_complete_in, 1u);
     store_group_free(next);
     store_group_free(group);
 }
 
-TEST(StoreGroup, AMemberWithAnEmptyDiskCopiesFromMembersCompleteInItsOwnGeneration) {
+TEST(StoreGroup, AMemberWithAnEmptyDiskCopiesFromItsOwnGeneration) {
     store_group_t *group = make_group({"a", "b", "c"});
     store_catch_up_t empty = store_group_catch_up(group, "a", 0);
     EXPECT_EQ(empty.sources, group->members);
-    EXPECT_EQ(empty.needed, 2u); // What it acknowledged may stand on one of the others only.
+    EXPECT_EQ(empty.needed, 2u); // Its records may be on only one other member.
     EXPECT_EQ(empty.source_complete_in, 1u);
     store_group_free(group);
 }
@@ -328,7 +328,7 @@
     store_group_free(group);
 }
 
-TEST(StoreGroup, SurvivesItsEncodingAndRefusesNoise) {
+TEST(StoreGroup, EncodingRoundTripsAndTruncationIsRejected) {
     store_group_t *group = make_group({"b", "a"});
     GBytes *bytes = store_group_encode(group);
     gsize length;
@@ -344,7 +344,7 @@
     store_group_free(group);
 }
 
-/** The tenant of the first turn after a way through the encoding; "!" if it can't be read. */
+/** The tenant of the first turn after encoding and decoding; "!" if decoding fails. */
 std::string tenant_after_encoding(message_type_t type, const char *tenant, gsize *length) {
     message_t message;
     message_init(&message, type);
@@ -366,18 +366,18 @@
     return found;
 }
 
-TEST(Message, TurnsCarryTheirTenantAndRecordsWithoutOneStayReadable) {
+TEST(Message, TurnsWithAndWithoutTenantRoundTrip) {
     for (message_type_t type : {REQUEST_PUT_TURN, RESPONSE_TURNS, RESPONSE_CHAIN}) {
         gsize with;
         gsize without;
         EXPECT_EQ(tenant_after_encoding(type, "one", &with), "one");
         EXPECT_EQ(tenant_after_encoding(type, nullptr, &without), "");
-        /* A turn without a tenant is written as it was before turns had any. */
+        /* A turn without a tenant is encoded in the format that predates tenants. */
         EXPECT_EQ(with, without + strlen("one") + 1);
     }
 }
 
-TEST(Message, EveryTypeSurvivesItsEncoding) {
+TEST(Message, EveryTypeRoundTripsAndTruncationIsRejected) {
     for (unsigned type = 0; type < MESSAGE_TYPE_COUNT; type++) {
         message_t message;
         message_init(&message, static_cast<message_type_t>(type));
