--- a/tests/unit/listing_turn_test.cc
+++ b/tests/unit/listing_turn_test.cc
@@ -40,8 +40,8 @@
     EXPECT_TRUE(listing_turn_due(&turn, start + LISTING_MOST_MS + turn.spread_ms));
 }
 
-// A view from a storage node may hold an old configuration, so it must be confirmed soon; the
-// timeout counts from the view, when the back ends of a starting system have registered.
+// A view from a storage node may hold an old configuration and must be confirmed soon. The timeout
+// counts from the view: counted from the start, all gateways would ask while back ends register.
 TEST(ListingTurn, AViewFromAStorageNodeIsConfirmedWithin4500Ms) {
     constexpr uint64_t kept = start + 3000;
     listing_turn_t turn = turn_of(500, true);
