--- a/src/core/configuration/configuration.h
+++ b/src/core/configuration/configuration.h
@@ -15,7 +15,7 @@
 #include "common/json.h"
 #include "core/program/command.h"
 
-/** Settings shared by all programs that are created from it. */
+/** Settings shared by all programs that are created from the template. */
 typedef struct {
     char *name;
     char *model;
--- a/src/core/configuration/directory_pace.h
+++ b/src/core/configuration/directory_pace.h
@@ -16,17 +16,17 @@
 #include <stdint.h>
 
 enum {
-    DIRECTORY_ASK_MS = 1000, /**< Interval of a gateway's requests; exceeds a transfer's time. */
+    DIRECTORY_ASK_MS = 1000, /**< Interval of a gateway's requests; longer than a transfer. */
     /** Unsent bytes for one gateway above which a response is considered to be in flight. */
     DIRECTORY_WAITING_MOST_BYTES = 65536,
     /** Share of the process's memory for connection buffers above which responses are deferred. */
     DIRECTORY_MEMORY_PERCENT = 10,
     DIRECTORY_PULL_MS = 3000,          /**< Timeout of a storage node's request to a gateway. */
-    DIRECTORY_PULL_LEAST_MS = 1000,    /**< Minimum interval between two pulls, */
-    DIRECTORY_PULL_BYTES_PER_MS = 100, /**< extended according to this transfer rate. */
+    DIRECTORY_PULL_LEAST_MS = 1000,    /**< Fixed part of the minimum interval between two pulls. */
+    DIRECTORY_PULL_BYTES_PER_MS = 100, /**< Rate that gives the part added for the copy's size. */
 };
 
-/** A storage node's copy of the directory and the newest offer. */
+/** A storage node's copy of the directory, and the latest revision that gateways offer. */
 typedef struct {
     uint64_t revision; /**< Of its copy; 0: it has none. */
     size_t bytes;      /**< Size of its copy. */
--- a/src/core/configuration/lapse.h
+++ b/src/core/configuration/lapse.h
@@ -15,8 +15,8 @@
 #include <stdint.h>
 
 enum {
-    LAPSE_KEPT_MS = 2000,          /**< Live back ends write their entries again within this. */
-    LAPSE_FAILED_LATELY_MS = 1500, /**< Exceeds the interval of failures during an outage. */
+    LAPSE_KEPT_MS = 2000, /**< Grace period; live back ends write their entries within it. */
+    LAPSE_FAILED_LATELY_MS = 1500, /**< An outage counts as ongoing this long after a failure. */
 };
 
 /** What a gateway has observed of the key-value service. */
--- a/src/core/configuration/listing_turn.c
+++ b/src/core/configuration/listing_turn.c
@@ -2,7 +2,7 @@
 
 #include "core/configuration/watch_duty.h"
 
-/** Reduces the jitter where only one call is needed. */
+/** Confirming a view takes a single call, so that less jitter is needed. */
 enum { CONFIRM_JITTER_DIVISOR = 6 };
 
 bool listing_turn_due(const listing_turn_t *turn, uint64_t now) {
--- a/src/core/configuration/listing_turn.h
+++ b/src/core/configuration/listing_turn.h
@@ -3,13 +3,13 @@
  * When a gateway that has just started lists the whole key-value service.
  *
  * After a loss of power all gateways of a fleet start at once. If each of them listed the service,
- * the listings would exceed the bandwidth and the call rate of the service. The same holds for the
- * watches of a new system, whose back ends all register at once.
+ * the listings would exceed the bandwidth and the call rate of the service. So would their watches
+ * while all back ends of a new system register at once.
  *
  * A starting gateway therefore reads only the store group's key and waits. The gateways of lowest
- * rank in a zone's root cell list the service; the others receive the view from storage nodes or
- * from a gateway that has it. A gateway that receives none lists the service itself after a
- * timeout.
+ * rank in a zone's root cell (store/gateway_directory.h) list the service; the others receive the
+ * view from storage nodes or from a gateway that has it. A gateway that receives none lists the
+ * service itself after a timeout.
  *
  * Decision code: no I/O, clock or thread. Times are in ms.
  */
@@ -21,11 +21,12 @@
 
 enum {
     LISTING_SETTLE_MS = 500, /**< Delay for the lists of gateways to fill while all connect. */
-    LISTING_EACH_MS = 1500,  /**< Further delay of each next group of WATCH_RENEWING gateways. */
+    LISTING_EACH_MS = 1500,  /**< Added delay for each WATCH_RENEWING preceding gateways. */
     LISTING_LONE_MS = 1500,  /**< Timeout of a gateway that reaches no storage node. */
     /**
-     * Timeout for confirming a view that came from a storage node, while no gateway is followed.
-     * A configuration changed just before a loss of power must be in force 5 s after recovery.
+     * Timeout for confirming a view that came from a storage node, while this gateway follows no
+     * other. A configuration changed just before a loss of power must be in force 5 s after
+     * recovery.
      */
     LISTING_KEPT_MS = 3500,
     LISTING_MOST_MS = 10000,  /**< Timeout of any gateway without a confirmed view. */
@@ -39,8 +40,8 @@
     unsigned rank;       /**< Number of gateways of its cell that precede it. */
     bool below;          /**< Its cell is not the root cell. */
     bool lone;           /**< It knows no store group, or reaches none of its members. */
-    uint64_t kept_at;    /**< When a storage node sent a view; 0: never, or it follows a gateway. */
-    uint32_t spread_ms;  /**< Random, up to LISTING_SPREAD_MS. */
+    uint64_t kept_at;   /**< When a storage node sent a view; 0: never, or a gateway is followed. */
+    uint32_t spread_ms; /**< Random, up to LISTING_SPREAD_MS. */
 } listing_turn_t;
 
 /** True if the gateway must now list the service, or request the changes since its view. */
--- a/src/core/configuration/watch_duty.c
+++ b/src/core/configuration/watch_duty.c
@@ -22,7 +22,7 @@
     return now <= report->heard_at - report->answer_age + bound;
 }
 
-/** Updates since when another process has reported a change that this one has not seen. */
+/** Sets `behind_since`: when another process first reported a change not seen here; 0: none. */
 static void update_behind_since(watch_state_t *own, const watch_report_t *reports, unsigned count,
                                 uint64_t now) {
     bool behind = false;
@@ -34,9 +34,9 @@
         own->behind_since = now;
 }
 
-/** Number of live processes that precede this one. */
-static unsigned count_live_before(const watch_report_t *reports, unsigned count,
-                                  uint64_t report_period_ms, uint64_t now) {
+/** Number of live processes whose addresses precede that of this process. */
+static unsigned count_live_preceding(const watch_report_t *reports, unsigned count,
+                                     uint64_t report_period_ms, uint64_t now) {
     unsigned live = 0;
     for (unsigned i = 0; i < count; i++)
         live += reports[i].before &&
@@ -51,10 +51,10 @@
 /** Summary of the healthy watches that other processes reported. */
 typedef struct {
     unsigned renewing;      /**< Healthy watches of processes that precede this one. */
-    uint64_t latest_answer; /**< Latest response to any of these; 0: none. */
-    unsigned first_rank;    /**< Rank of the first of them. */
-    uint64_t first_answer;  /**< Latest response to that one. */
-    unsigned others;        /**< Healthy and renewing, whether they precede this one or not. */
+    uint64_t latest_answer; /**< Latest response to a watch counted in `renewing`; 0: none. */
+    unsigned first_rank;    /**< Lowest rank of a process counted in `renewing`. */
+    uint64_t first_answer;  /**< Latest response to the process of rank `first_rank`. */
+    unsigned others;        /**< Healthy watches of renewing processes, preceding or not. */
 } watches_before_t;
 
 static watches_before_t summarize_watches(const watch_report_t *reports, unsigned count,
@@ -85,9 +85,9 @@
 }
 
 /**
- * Staggered wait of a renewing process: its response is due one WATCH_TURN_MS after the first
- * process's response for each renewing process that precedes it. With fewer than WATCH_RENEWING
- * processes the cycle is shorter.
+ * Wait that ends in this process's slot of the cycle. Slots are WATCH_TURN_MS apart, one for each
+ * renewing process in order of address. The first slot starts at the latest response to the
+ * first process.
  */
 static uint32_t staggered_wait_ms(const watches_before_t *before, uint64_t now) {
     unsigned renewing = before->others + 1 < WATCH_RENEWING ? before->others + 1 : WATCH_RENEWING;
@@ -103,7 +103,7 @@
                                    unsigned count, uint64_t report_period_ms,
                                    uint64_t renewing_period_ms, uint64_t now) {
     watches_before_t before = summarize_watches(reports, count, renewing_period_ms, now);
-    unsigned live = count_live_before(reports, count, report_period_ms, now);
+    unsigned live = count_live_preceding(reports, count, report_period_ms, now);
     bool enough = before.renewing >= WATCH_RENEWING && report_period_ms <= REPORT_PERIOD_MAX_MS &&
                   !responses_overdue(&before, renewing_period_ms, now);
     bool rests = own->below ? live >= WATCH_RENEWING : enough;
--- a/src/core/configuration/watch_duty.h
+++ b/src/core/configuration/watch_duty.h
@@ -1,27 +1,28 @@
 /**
  * @file watch_duty.h
- * Wait time and renewal of this process's watch when many processes watch the same key-value
- * service.
+ * Decides when a process renews its watch of the key-value service and how long the watch waits.
  *
- * A watch whose response was lost is indistinguishable from one without changes, so some process
- * must renew its watch every few seconds. The first WATCH_RENEWING processes by address whose watch
- * is healthy do so; they are *renewing*, the others *resting*, with a long wait. If a renewing
- * process fails, the next one in order takes its place. All processes report to one another when
- * their watch was last answered and the latest revision at which they saw a change, so that a
- * process learns that its own watch has missed one. The renewing processes stagger their waits, so
- * that one of them is answered every WATCH_TURN_MS. If none was for longer than that, all of them
- * may be isolated or waiting for lost responses, and the next few processes start renewing.
+ * A watch whose response was lost looks like one without changes, so some watches must be renewed
+ * every few seconds. The first WATCH_RENEWING processes by address whose watch is healthy do so;
+ * they are *renewing*. The others are *resting*: their watches have a long wait. If a renewing
+ * process fails, the next one in order takes its place.
  *
- * In a large fleet only the processes of a group report to one another, and one group watches for
- * all. In a group *below* it the first few live processes follow processes of that group, and the
- * others follow them. They ask the service themselves only if that fails, so that neither the calls
- * nor the retries during an outage grow with the fleet.
+ * Each process reports to the others when its watch was last answered and the latest revision at
+ * which it saw a change. A process that has not seen a reported change renews its own watch.
+ * Renewing processes stagger their waits, so that one of them is answered every WATCH_TURN_MS. If
+ * none was answered for longer than that, all of them may be isolated, and the next few processes
+ * start renewing.
  *
- * A change must be in force everywhere within 2 s, even if a process fails meanwhile. A watch
- * pauses at most WATCH_GATHER_MOST_MS between changes, and a process that saw a change reports it
- * at once. A follower whose source failed or was isolated before it saw the change waits for
- * WATCH_SOURCE_LAG_MS, checks every WATCH_LOOK_BEHIND_MS and requests the change from another
- * source: 1.3 s in all, plus the network's delays.
+ * In a large fleet processes are divided into groups and report only within their group. One group
+ * watches the service for all. In each other group (`below`) the first few live processes follow
+ * processes of the watching group, and the rest follow those few. They call the service themselves
+ * only if that fails, so that the number of calls does not grow with the fleet, even during an
+ * outage.
+ *
+ * A change must be in force everywhere within 2 s, even if a process fails meanwhile. In the worst
+ * case a watch pauses for WATCH_GATHER_MOST_MS before it sees the change, and a follower whose
+ * source has failed waits for WATCH_SOURCE_LAG_MS and at most WATCH_LOOK_BEHIND_MS more before it
+ * requests the change from another source: 1.3 s in all, plus network delays.
  *
  * Decision code: no I/O, clock or thread. Times are in ms.
  */
@@ -44,7 +45,7 @@
     WATCH_RESTING_PAUSE_MS = 1000, /**< Pause between two watches of a resting process. */
     WATCH_ANSWER_MS = 900,         /**< Timeout of a watch's response beyond its wait. */
     WATCH_LAG_MS = 600,            /**< Timeout for a change that another process has reported. */
-    WATCH_TRIAL_MS = 2000, /**< The same for a watch that was renewed because of such a change. */
+    WATCH_TRIAL_MS = 2000,      /**< The same after the watch was renewed because of that change. */
     WATCH_GATHER_MOST_MS = 500, /**< Maximum pause between two watches that both saw changes. */
     /** Timeout for a reported change to arrive from the followed process, which may pause first. */
     WATCH_SOURCE_LAG_MS = WATCH_GATHER_MOST_MS + 200,
@@ -67,7 +68,7 @@
     uint64_t known;        /**< All changes up to this revision have been seen. */
     uint64_t answered_at;  /**< Latest response; 0: never. */
     uint64_t begun_at;     /**< Start of the pending watch. */
-    uint64_t behind_since; /**< Since when others report a later change; 0: none do. */
+    uint64_t behind_since; /**< When others first reported a later change; 0: none reported. */
     bool below;            /**< This process's group follows another group. */
 } watch_state_t;
 
--- a/src/core/digest/digest_buckets.h
+++ b/src/core/digest/digest_buckets.h
@@ -11,7 +11,10 @@
 
 #include <stdint.h>
 
-/** More buckets send fewer equal records beside those that differ, at 8 bytes a bucket. */
+/**
+ * With more buckets, fewer equal records share a bucket with a differing one and are exchanged
+ * needlessly, but each bucket adds 8 bytes to a digest.
+ */
 enum { DIGEST_BUCKETS = 512 };
 
 typedef struct {
--- a/src/core/digest/record_digest.h
+++ b/src/core/digest/record_digest.h
@@ -21,7 +21,7 @@
     uint64_t charges[DIGEST_BUCKETS];
 } record_digest_t;
 
-/** Digest of the records on disk; @p budgets must be initialized as a replica's table. */
+/** Digest of the records on disk; @p budgets must come from budget_table_init_replica. */
 void record_digest_compute(record_digest_t *digest, const turn_table_t *turns,
                            const budget_table_t *budgets);
 /** True if the bucket of turn @p id is equal in both. */
--- a/src/core/quorum/copy_claims.c
+++ b/src/core/quorum/copy_claims.c
@@ -46,7 +46,7 @@
     g_free(plan);
 }
 
-static bool holds(const fetch_record_t *record, unsigned source) {
+static bool has_holder(const fetch_record_t *record, unsigned source) {
     return (record->holders >> source & 1) != 0;
 }
 
@@ -64,7 +64,7 @@
 void copy_claims_add(copy_claims_t *plan, unsigned source, const char *id) {
     fetch_record_t *record = obtain_record(plan, id);
     plan->examined++;
-    if (record->arrived || holds(record, source))
+    if (record->arrived || has_holder(record, source))
         return;
     record->holders |= (uint64_t)1 << source;
     plan->sources[source].missing++;
@@ -76,7 +76,7 @@
     while (!g_queue_is_empty(queue)) {
         fetch_record_t *record = g_queue_pop_head(queue);
         plan->examined++;
-        if (record->arrived || record->requested_from != NO_SOURCE || !holds(record, source))
+        if (record->arrived || record->requested_from != NO_SOURCE || !has_holder(record, source))
             continue;
         record->requested_from = (int)source;
         return record->id;
@@ -90,12 +90,12 @@
         return;
     record->arrived = true;
     for (unsigned i = 0; i < plan->count; i++)
-        plan->sources[i].missing -= holds(record, i);
+        plan->sources[i].missing -= has_holder(record, i);
 }
 
 /** Removes the source from the holders of a record that has not arrived. */
 static void drop_holder(copy_claims_t *plan, fetch_record_t *record, unsigned source) {
-    if (record->arrived || !holds(record, source))
+    if (record->arrived || !has_holder(record, source))
         return;
     record->holders &= ~((uint64_t)1 << source);
     plan->sources[source].missing--;
@@ -105,7 +105,7 @@
 static void requeue(copy_claims_t *plan, fetch_record_t *record) {
     record->requested_from = NO_SOURCE;
     for (unsigned i = 0; i < plan->count && !record->arrived; i++)
-        if (holds(record, i))
+        if (has_holder(record, i))
             g_queue_push_tail(plan->sources[i].queue, record);
 }
 
--- a/src/core/quorum/store_group.h
+++ b/src/core/quorum/store_group.h
@@ -2,12 +2,14 @@
  * @file store_group.h
  * The group of storage nodes that replicate turns and budgets, and its quorum sizes.
  *
+ * The group changes by a new generation, written to the key-value service with a compare-and-swap.
+ * A member is *complete* in a generation once it holds everything that was acknowledged in the
+ * previous one or, if it restarted with an empty disk, everything that it may itself have
+ * acknowledged in the current one.
+ *
  * Each record is sent to every member and acknowledged once `write_quorum` of them have it on
  * disk; for a turn at least one of these must be complete. A record is reported as absent only if
- * `absence_quorum` complete members lack it. The group changes by a new generation, written to the
- * key-value service with a compare-and-swap. A member is *complete* in a generation once it holds
- * everything that was acknowledged in the previous one or, if it restarted with an empty disk,
- * everything that it may itself have acknowledged in the current one.
+ * `absence_quorum` complete members lack it.
  *
  * Decision code: no I/O, clock or thread.
  */
@@ -45,19 +47,19 @@
 unsigned store_read_quorum(unsigned members);
 /**
  * Number of complete members that must lack a record for it to be reported as absent: a majority.
- * Members that missed a change of the group may still answer in the old generation. A member that
- * is complete in the next generation has copied from a read quorum of the old one, and those
- * members no longer answer in the old generation. In a group of even size the others could still
- * form a read quorum and deny a record that the next generation acknowledged.
+ * A read quorum is not enough, because members that missed a change of the group still respond for
+ * the old generation and lack what the next one acknowledged. When a member becomes complete in the
+ * next generation, a read quorum of the old one has stopped responding for it; in a group of even
+ * size the remaining members can be as many as a read quorum.
  */
 unsigned store_absence_quorum(unsigned members);
 /** Number of complete members that a member with an empty disk must copy from. */
 unsigned store_group_sources_needed(unsigned members);
 /**
  * True if a turn is durable in the group's generation: @p copies members have it on disk, and
- * @p complete of these are complete in that generation. A complete member is required because
- * otherwise the members of the previous generation may not have seen the new one, and could form
- * an absence quorum for the turn.
+ * @p complete of these are complete in that generation. Before any member is complete, an absence
+ * quorum of the previous generation may not know of the new one, and would report the turn as
+ * absent.
  */
 bool store_turn_durable(unsigned members, unsigned copies, unsigned complete);
 
--- a/src/core/turns/record_clock.c
+++ b/src/core/turns/record_clock.c
@@ -1,7 +1,8 @@
 #include "core/turns/record_clock.h"
 
 void record_clock_read(record_clock_t *clock, uint64_t mark) {
-    /* Records before the first mark count as no older than those after it. */
+    /* The clock starts at the first mark. Earlier records get the same time, so that their age is
+       not overestimated. */
     if (!clock->mark_read)
         clock->first_mark = mark;
     clock->mark_read = true;
--- a/src/core/turns/record_clock.h
+++ b/src/core/turns/record_clock.h
@@ -22,7 +22,7 @@
 enum { RECORD_MARK_MS = 1000 };
 
 typedef struct {
-    uint64_t first_mark; /**< Of this log; marks count from the first record ever written. */
+    uint64_t first_mark; /**< Earliest mark in the log; above 0 once older segments are deleted. */
     bool mark_read;
     uint64_t replayed_ms; /**< Time covered by the marks that were read from the log. */
     bool running;         /**< The log has been replayed. */
@@ -31,7 +31,7 @@
     bool mark_written;    /**< A mark was written since replay. */
 } record_clock_t;
 
-/** Processes a mark that was read from the log. */
+/** Replay: advances the clock to @p mark, read from the log. An earlier mark has no effect. */
 void record_clock_read(record_clock_t *clock, uint64_t mark);
 /** Ends replay; from now on the clock advances with the caller's time @p now. */
 void record_clock_run(record_clock_t *clock, uint64_t now);
--- a/src/core/turns/room_holds.c
+++ b/src/core/turns/room_holds.c
@@ -69,7 +69,7 @@
     }
 }
 
-uint64_t room_holds_bytes(const room_holds_t *reservations, uint64_t mean_before) {
-    double mean = reservations->completed == 0 ? (double)mean_before : reservations->mean_bytes;
+uint64_t room_holds_bytes(const room_holds_t *reservations, uint64_t initial_mean) {
+    double mean = reservations->completed == 0 ? (double)initial_mean : reservations->mean_bytes;
     return (uint64_t)(mean * g_queue_get_length((GQueue *)&reservations->order));
 }
--- a/src/core/turns/room_holds.h
+++ b/src/core/turns/room_holds.h
@@ -15,7 +15,8 @@
 
 /**
  * A reservation expires after this, in ms, if its call has neither written a turn nor been settled:
- * its gateway has failed. A turn that arrives later is still accepted while there is space.
+ * its gateway has probably failed. A turn that arrives later is still accepted while there is
+ * space.
  */
 enum { ROOM_HOLD_MS = 60000 };
 
@@ -36,7 +37,7 @@
 void room_holds_cancel(room_holds_t *reservations, const char *call);
 /** Removes reservations that are ROOM_HOLD_MS old or older. */
 void room_holds_expire(room_holds_t *reservations, uint64_t now);
-/** Bytes reserved for all calls; @p mean_before is the mean to use until a call has completed. */
-uint64_t room_holds_bytes(const room_holds_t *reservations, uint64_t mean_before);
+/** Bytes reserved for all calls; @p initial_mean is used until a call has completed. */
+uint64_t room_holds_bytes(const room_holds_t *reservations, uint64_t initial_mean);
 
 #endif
--- a/src/core/turns/turn_table.h
+++ b/src/core/turns/turn_table.h
@@ -24,7 +24,7 @@
     char *tenant;          /**< Owner; "": none, or the record predates tenants. */
 } turn_t;
 
-/** A turn and its bookkeeping. */
+/** A turn in the table, with its expiry and its place in the log. */
 typedef struct {
     turn_t turn;
     uint64_t expires_at;
@@ -34,11 +34,11 @@
 
 typedef struct {
     GHashTable *entries;         /**< Turn id to turn_entry_t. */
-    GHashTable *missing_until;   /**< Id of a missing turn to the latest expiry, a uint64_t, of the
-                                   turns that descend from it. */
+    GHashTable *missing_until;   /**< Latest expiry (uint64_t) of a missing turn's descendants, by
+                                   the missing turn's id. */
     uint64_t bytes;              /**< Estimated memory of all turns. */
     GArray *segments_kept_until; /**< By segment number: time until which to keep it. */
-    digest_buckets_t *buckets;   /**< Of all turns in the table, which are all on disk. */
+    digest_buckets_t *buckets;   /**< Digests of all turns; every turn in the table is on disk. */
 } turn_table_t;
 
 void turn_clear(turn_t *turn);
@@ -64,7 +64,7 @@
 const turn_t *turn_table_find(const turn_table_t *table, const char *id);
 /** Remaining time until the turn expires, in ms; at least 1. */
 uint32_t turn_table_time_left(const turn_table_t *table, const char *id, uint64_t now);
-/** Removes expired turns. */
+/** Removes expired turns, and expired entries of `missing_until`. */
 void turn_table_expire(turn_table_t *table, uint64_t now);
 /** True if @p segment may be deleted. */
 bool turn_table_segment_unneeded(const turn_table_t *table, uint32_t segment, uint64_t now);
--- a/tests/unit/room_holds_test.cc
+++ b/tests/unit/room_holds_test.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr uint64_t mean_before = 700;
+constexpr uint64_t initial_mean = 700;
 
 class RoomHolds : public testing::Test {
   public:
@@ -20,7 +20,7 @@
         room_holds_clear(&holds);
     }
     uint64_t reserved() const {
-        return room_holds_bytes(&holds, mean_before);
+        return room_holds_bytes(&holds, initial_mean);
     }
 
     room_holds_t holds;
@@ -31,7 +31,7 @@
     room_holds_begin(&holds, "a", 0);
     room_holds_begin(&holds, "b", 0);
     room_holds_begin(&holds, "c", 0);
-    EXPECT_EQ(reserved(), 3 * mean_before);
+    EXPECT_EQ(reserved(), 3 * initial_mean);
     room_holds_end(&holds, "a", 1000);
     EXPECT_EQ(reserved(), 2000u);
     room_holds_end(&holds, "b", 2600);
@@ -72,9 +72,9 @@
     room_holds_begin(&holds, "a", 0);
     room_holds_begin(&holds, "b", 10);
     room_holds_expire(&holds, ROOM_HOLD_MS - 1);
-    EXPECT_EQ(reserved(), 2 * mean_before);
+    EXPECT_EQ(reserved(), 2 * initial_mean);
     room_holds_expire(&holds, ROOM_HOLD_MS);
-    EXPECT_EQ(reserved(), mean_before);
+    EXPECT_EQ(reserved(), initial_mean);
     room_holds_end(&holds, "b", 50);
     EXPECT_EQ(reserved(), 0u);
 }
