--- a/src/core/configuration/directory_pace.h
+++ b/src/core/configuration/directory_pace.h
@@ -39,9 +39,9 @@
 bool directory_ask_due(uint64_t asked_at, uint64_t now);
 
 /**
- * True if a storage node responds to a request; otherwise the gateway requests again later. All
- * responses share the bytes of one directory, so that what is queued for other gateways is not
- * counted separately.
+ * True if a storage node responds to a request; otherwise the gateway requests again later. The
+ * number of responses queued for other gateways is not limited, as all share one encoded directory
+ * in memory.
  * @param waiting_there Bytes queued for the requesting gateway.
  * @param buffer_bytes Memory held by the buffers of all connections.
  * @param memory_bytes Memory limit of the process.
--- a/src/core/configuration/watch_duty.c
+++ b/src/core/configuration/watch_duty.c
@@ -54,7 +54,7 @@
     uint64_t latest_answer; /**< Latest response to a watch counted in `renewing`; 0: none. */
     unsigned first_rank;    /**< Lowest rank of a process counted in `renewing`. */
     uint64_t first_answer;  /**< Latest response to the process of rank `first_rank`. */
-    unsigned others;        /**< Healthy watches of renewing processes, preceding or not. */
+    unsigned others;        /**< Healthy watches of all other renewing processes, of any rank. */
 } watches_before_t;
 
 static watches_before_t summarize_watches(const watch_report_t *reports, unsigned count,
--- a/src/core/quorum/copy_claims.h
+++ b/src/core/quorum/copy_claims.h
@@ -28,8 +28,8 @@
 /** Records that the source holds record @p id, which the replica lacks. */
 void copy_claims_add(copy_claims_t *plan, unsigned source, const char *id);
 /**
- * The next record to request from the source that is not requested elsewhere, or NULL. The string
- * is valid as long as @p plan.
+ * The next record to request from @p source: one that it holds, has not arrived and is not
+ * requested yet; NULL if there is none. The string is valid as long as @p plan.
  */
 const char *copy_claims_take(copy_claims_t *plan, unsigned source);
 /** Marks the record as stored on this replica. */
--- a/src/core/quorum/store_group.h
+++ b/src/core/quorum/store_group.h
@@ -47,10 +47,10 @@
 unsigned store_read_quorum(unsigned members);
 /**
  * Number of complete members that must lack a record for it to be reported as absent: a majority.
- * A read quorum is not enough, because members that missed a change of the group still respond for
- * the old generation and lack what the next one acknowledged. When a member becomes complete in the
- * next generation, a read quorum of the old one has stopped responding for it; in a group of even
- * size the remaining members can be as many as a read quorum.
+ * Members that missed a change of the group still respond for the old generation and lack what the
+ * next one acknowledged. Once a member is complete in the next generation, a read quorum of the old
+ * one no longer responds for the old one. In a group of even size, the members that still do can be
+ * as many as a read quorum, but not a majority.
  */
 unsigned store_absence_quorum(unsigned members);
 /** Number of complete members that a member with an empty disk must copy from. */
--- a/src/core/quorum/store_group_choice.c
+++ b/src/core/quorum/store_group_choice.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 enum {
-    CONCURRENT_REPLACEMENTS = 1, /**< Members being replaced while others are lost. */
+    CONCURRENT_REPLACEMENTS = 1, /**< Replacements tolerated in addition to the losses. */
 };
 
 unsigned store_group_size(unsigned tolerated_losses) {
