--- a/src/gateway/backend_choice.c
+++ b/src/gateway/backend_choice.c
@@ -1,7 +1,7 @@
 /*
- * Design. The back ends of this gateway's zone are candidates first. All of the service are only if
- * those will not do: none is usable, so many of them are avoided that it may be the zone's fault,
- * or one of another zone may be better although it is farther away.
+ * Design. The back ends of the local zone are considered first. Those of remote zones are added
+ * only if no local one is usable, if so many local ones are avoided that the cause may be the zone
+ * itself, or if a remote one may be better in spite of its distance.
  */
 #include "gateway/backends.h"
 #include "gateway/engine_load.h"
@@ -12,16 +12,17 @@
 #include <xxhash.h>
 
 enum {
-    DOUBTFUL_SHARE = 3, /**< So many avoided, one in so many, are looked at together with all. */
+    /** Remote back ends are considered too if more than one in this many candidates is avoided. */
+    AVOIDED_DOUBT_DIVISOR = 3,
 };
 
-/** Candidates of one kind or the other, and the back ends that they stand for. */
+/** Candidates, either services or engines, with their back ends at the same indices. */
 typedef struct {
     GArray *services;    /**< Of service_candidate_t. */
     GArray *engines;     /**< Of engine_candidate_t. */
     GPtrArray *backends; /**< Of backend_t. */
     unsigned avoided;
-    bool speeds; /**< They are measured of the service's back ends. */
+    bool speeds; /**< The speeds of the service's back ends are measured. */
 } candidates_t;
 
 static void candidates_init(candidates_t *candidates) {
@@ -39,8 +40,8 @@
 }
 
 static bool usable(const backend_t *backend, const backend_choice_t *choice) {
-    bool lapsed = backend->lapsed_until > 0 && uv_now(backend->loop) >= backend->lapsed_until;
-    if (backend->record->leaving || lapsed)
+    bool expired = backend->lapsed_until > 0 && uv_now(backend->loop) >= backend->lapsed_until;
+    if (backend->record->leaving || expired)
         return false;
     return choice->excluded == NULL ||
            !g_ptr_array_find((GPtrArray *)choice->excluded, backend, NULL);
@@ -93,12 +94,12 @@
         add_one(candidates, g_ptr_array_index(list, i), choice, add);
 }
 
-/** True if so many candidates are avoided that more must be seen to tell what it means. */
-static bool doubtful(const candidates_t *candidates) {
-    return candidates->avoided * DOUBTFUL_SHARE > candidates->backends->len;
+/** True if too many candidates are avoided to trust the evidence against them. */
+static bool avoidance_is_doubtful(const candidates_t *candidates) {
+    return candidates->avoided * AVOIDED_DOUBT_DIVISOR > candidates->backends->len;
 }
 
-static backend_t *take(const candidates_t *candidates, bool found, unsigned index) {
+static backend_t *take_candidate(const candidates_t *candidates, bool found, unsigned index) {
     if (!found)
         return NULL;
     backend_t *backend = g_ptr_array_index(candidates->backends, index);
@@ -111,8 +112,8 @@
                           candidates->services->len, seed, index);
 }
 
-/** True if a back end of another zone can't be better than the one of this zone at @p index. */
-static bool near_is_best(const candidates_t *candidates, unsigned index) {
+/** True if no remote back end can be better than the candidate at @p index. */
+static bool local_is_best(const candidates_t *candidates, unsigned index) {
     return service_stays_near(&g_array_index(candidates->services, service_candidate_t, index));
 }
 
@@ -126,11 +127,11 @@
     candidates.speeds = backends_tell_lives(backends, choice->service);
     add_list(&candidates, members->near, choice, add_service);
     bool found = choose_service(&candidates, backends->seed, &index);
-    if (!found || doubtful(&candidates) || !near_is_best(&candidates, index)) {
+    if (!found || avoidance_is_doubtful(&candidates) || !local_is_best(&candidates, index)) {
         add_list(&candidates, members->far, choice, add_service);
         found = choose_service(&candidates, backends->seed, &index);
     }
-    backend_t *backend = take(&candidates, found, index);
+    backend_t *backend = take_candidate(&candidates, found, index);
     candidates_clear(&candidates);
     return backend;
 }
@@ -141,23 +142,28 @@
                          candidates->engines->len, request, index);
 }
 
-/** The engine that holds the program's prompt, if it is of another zone; else NULL. */
-static backend_t *far_place(const backends_t *backends, const backend_choice_t *choice,
-                            const engine_request_t *request) {
-    backend_t *place = request->place == 0 ? NULL : backends_find_hash(backends, request->place);
-    bool of_service = place != NULL && strcmp(place->record->service, choice->service) == 0;
-    return of_service && !place->near ? place : NULL;
+/** The engine that has the program's prompt, if it is in a remote zone; else NULL. */
+static backend_t *remote_last_engine(const backends_t *backends, const backend_choice_t *choice,
+                                     const engine_request_t *request) {
+    backend_t *last_engine =
+        request->place == 0 ? NULL : backends_find_hash(backends, request->place);
+    bool of_service =
+        last_engine != NULL && strcmp(last_engine->record->service, choice->service) == 0;
+    return of_service && !last_engine->near ? last_engine : NULL;
 }
 
-/** True if the engines of this zone do: one of them, or the program's place if it has room. */
-static bool zone_does(const candidates_t *candidates, const engine_request_t *request,
-                      unsigned index) {
+/**
+ * True if the choice stands without more remote engines: it is local, or it is the program's engine
+ * and that is not crowded.
+ */
+static bool local_engine_suffices(const candidates_t *candidates, const engine_request_t *request,
+                                  unsigned index) {
     const engine_candidate_t *chosen =
         &g_array_index(candidates->engines, engine_candidate_t, index);
-    bool is_place = request->place != 0 && chosen->id == request->place;
-    if (doubtful(candidates))
+    bool is_last_engine = request->place != 0 && chosen->id == request->place;
+    if (avoidance_is_doubtful(candidates))
         return false;
-    return is_place ? !engine_crowded(chosen) : chosen->near;
+    return is_last_engine ? !engine_crowded(chosen) : chosen->near;
 }
 
 backend_t *backends_choose_engine(backends_t *backends, const backend_choice_t *choice,
@@ -169,24 +175,24 @@
     unsigned index = 0;
     candidates_init(&candidates);
     add_list(&candidates, members->near, choice, add_engine);
-    backend_t *place = far_place(backends, choice, request);
-    if (place != NULL)
-        add_one(&candidates, place, choice, add_engine);
+    backend_t *last_engine = remote_last_engine(backends, choice, request);
+    if (last_engine != NULL)
+        add_one(&candidates, last_engine, choice, add_engine);
     bool found = choose_engine(&candidates, request, &index);
-    if (!found || !zone_does(&candidates, request, index)) {
+    if (!found || !local_engine_suffices(&candidates, request, index)) {
         for (guint i = 0; i < members->far->len; i++)
-            if (g_ptr_array_index(members->far, i) != place)
+            if (g_ptr_array_index(members->far, i) != last_engine)
                 add_one(&candidates, g_ptr_array_index(members->far, i), choice, add_engine);
         found = choose_engine(&candidates, request, &index);
     }
-    backend_t *backend = take(&candidates, found, index);
+    backend_t *backend = take_candidate(&candidates, found, index);
     candidates_clear(&candidates);
     return backend;
 }
 
-/* By cost. */
+/* Choice by cost. */
 
-/** Engines among which a turn is placed, and the back ends that they stand for. */
+/** Engines for the placement of a turn, with their back ends at the same indices. */
 typedef struct {
     GArray *options;     /**< Of engine_option_t. */
     GPtrArray *backends; /**< Of backend_t. */
@@ -208,14 +214,15 @@
     g_ptr_array_add(engines->backends, backend);
 }
 
-/** Adds some of the engines of other zones, spread over the list from where the draw says. */
-static void add_drawn(engine_options_t *engines, const GPtrArray *far, const backend_t *place,
-                      const backend_choice_t *choice, uint64_t draw) {
-    guint count = MIN(far->len, ENGINES_FAR_DRAWN);
+/** Adds a sample of the remote engines, evenly spaced from a random start. */
+static void add_sampled_remote(engine_options_t *engines, const GPtrArray *remote,
+                               const backend_t *last_engine, const backend_choice_t *choice,
+                               uint64_t sample) {
+    guint count = MIN(remote->len, ENGINES_FAR_DRAWN);
     for (guint i = 0; i < count; i++) {
-        guint index = (guint)((draw + (uint64_t)i * far->len / count) % far->len);
-        backend_t *backend = g_ptr_array_index(far, index);
-        if (backend != place)
+        guint index = (guint)((sample + (uint64_t)i * remote->len / count) % remote->len);
+        backend_t *backend = g_ptr_array_index(remote, index);
+        if (backend != last_engine)
             add_option(engines, backend, choice);
     }
 }
@@ -234,18 +241,18 @@
     request->turn.tokens_per_ms = engine_usual_tokens_per_ms(&members->usual);
 }
 
-/** Places the turn in this zone, or among all if those of this zone will not do. */
+/** Places the turn in the local zone, or also considers remote engines if that is not enough. */
 static placement_t place_in_zones(engine_options_t *engines, const service_members_t *members,
-                                  backend_t *place, const backend_choice_t *choice,
+                                  backend_t *last_engine, const backend_choice_t *choice,
                                   const placement_request_t *request) {
     for (guint i = 0; i < members->near->len; i++)
         add_option(engines, g_ptr_array_index(members->near, i), choice);
-    if (place != NULL)
-        add_option(engines, place, choice);
+    if (last_engine != NULL)
+        add_option(engines, last_engine, choice);
     placement_t placement = place_among(engines, request);
     if (placement.outcome == PLACEMENT_FOUND && !placement.look_far)
         return placement;
-    add_drawn(engines, members->far, place, choice, request->draw);
+    add_sampled_remote(engines, members->far, last_engine, choice, request->draw);
     return place_among(engines, request);
 }
 
@@ -261,9 +268,9 @@
         .backends = g_ptr_array_new(),
         .usual = &members->usual,
     };
-    const engine_request_t place = {.place = request->place};
-    *placement =
-        place_in_zones(&engines, members, far_place(backends, choice, &place), choice, request);
+    const engine_request_t last_request = {.place = request->place};
+    *placement = place_in_zones(
+        &engines, members, remote_last_engine(backends, choice, &last_request), choice, request);
     backend_t *backend = NULL;
     if (placement->outcome == PLACEMENT_FOUND) {
         backend = g_ptr_array_index(engines.backends, placement->chosen);
--- a/src/gateway/event_stream.c
+++ b/src/gateway/event_stream.c
@@ -15,7 +15,7 @@
     g_string_free(stream->last_id, TRUE);
 }
 
-/** The value of a field's line if it is named @p name; NULL if not. */
+/** The value in a line of field @p name; NULL if the line is of another field. */
 static const char *field_value(const char *line, size_t length, const char *name,
                                size_t *value_length) {
     size_t name_length = strlen(name);
@@ -29,8 +29,8 @@
     return line + start;
 }
 
-static void take_event(event_stream_t *stream, const char *event, size_t length) {
-    bool any_data = false;
+static void parse_event(event_stream_t *stream, const char *event, size_t length) {
+    bool has_data = false;
     size_t position = 0;
     while (position < length) {
         const char *line = event + position;
@@ -42,10 +42,10 @@
         size_t value_length;
         const char *value = field_value(line, line_length, "data", &value_length);
         if (value != NULL) {
-            if (any_data)
+            if (has_data)
                 g_string_append_c(stream->output, '\n');
             g_string_append_len(stream->output, value, (gssize)value_length);
-            any_data = true;
+            has_data = true;
             continue;
         }
         value = field_value(line, line_length, "id", &value_length);
@@ -54,13 +54,13 @@
             g_string_append_len(stream->last_id, value, (gssize)value_length);
         }
     }
-    if (any_data)
+    if (has_data)
         g_string_append_c(stream->output, '\n');
     stream->events++;
 }
 
-/** Length of the first event of @p data with its blank line; 0 if it has not ended. */
-static size_t whole_event(const char *data, size_t length) {
+/** Length of the first event in @p data, including its blank line; 0 if it is incomplete. */
+static size_t complete_event_length(const char *data, size_t length) {
     const char *position = data;
     for (;;) {
         const char *line_end = memchr(position, '\n', length - (size_t)(position - data));
@@ -78,16 +78,16 @@
     }
 }
 
-void event_stream_feed(event_stream_t *stream, const char *data, size_t length, GString *whole) {
+void event_stream_feed(event_stream_t *stream, const char *data, size_t length, GString *complete) {
     g_string_append_len(stream->partial, data, (gssize)length);
     size_t used = 0;
     for (;;) {
         const char *rest = stream->partial->str + used;
-        size_t size = whole_event(rest, stream->partial->len - used);
+        size_t size = complete_event_length(rest, stream->partial->len - used);
         if (size == 0)
             break;
-        take_event(stream, rest, size);
-        g_string_append_len(whole, rest, (gssize)size);
+        parse_event(stream, rest, size);
+        g_string_append_len(complete, rest, (gssize)size);
         used += size;
     }
     g_string_erase(stream->partial, 0, (gssize)used);
--- a/src/gateway/event_stream.h
+++ b/src/gateway/event_stream.h
@@ -1,6 +1,7 @@
 /**
  * @file event_stream.h
- * Cuts a text/event-stream into whole events, and collects what they say.
+ * Incremental parser of text/event-stream: splits a byte stream into complete events and collects
+ * their data and ids.
  *
  * Thread safety: an object belongs to one thread.
  */
@@ -12,19 +13,19 @@
 #include <stddef.h>
 
 typedef struct {
-    GString *partial; /**< Bytes of an event that has not ended. */
-    GString *output;  /**< The data of each event, each followed by a line feed. */
-    GString *last_id; /**< Id of the last whole event; "" if none had one. */
-    unsigned events;  /**< Whole events so far. */
+    GString *partial; /**< Bytes of an incomplete event. */
+    GString *output;  /**< Data of each event, each followed by a line feed. */
+    GString *last_id; /**< Latest event id; "" if no event had one. */
+    unsigned events;  /**< Number of complete events. */
 } event_stream_t;
 
 void event_stream_init(event_stream_t *stream);
 void event_stream_clear(event_stream_t *stream);
-/** Takes bytes; appends the events that are whole now to @p whole, byte for byte. */
-void event_stream_feed(event_stream_t *stream, const char *data, size_t length, GString *whole);
-/** Forgets an event that has begun, before the stream goes on elsewhere. */
+/** Parses bytes; appends the events that are now complete to @p complete, unchanged. */
+void event_stream_feed(event_stream_t *stream, const char *data, size_t length, GString *complete);
+/** Discards an incomplete event before the stream is resumed by another send. */
 void event_stream_drop_partial(event_stream_t *stream);
-/** True if no event has begun that has not ended. */
+/** True if there is no incomplete event. */
 bool event_stream_at_boundary(const event_stream_t *stream);
 
 #endif
--- a/src/gateway/split.c
+++ b/src/gateway/split.c
@@ -15,7 +15,7 @@
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_credits);
 }
 
-static route_credits_t *obtain(GHashTable *table, const route_t *route) {
+static route_credits_t *get_or_create_credits(GHashTable *table, const route_t *route) {
     route_credits_t *credits = g_hash_table_lookup(table, route->name);
     if (credits != NULL && credits->parts == route->parts->len)
         return credits;
@@ -29,7 +29,7 @@
 const char *split_next(GHashTable *table, const route_t *route) {
     if (route->parts->len == 1)
         return g_array_index(route->parts, route_part_t, 0).service;
-    route_credits_t *credits = obtain(table, route);
+    route_credits_t *credits = get_or_create_credits(table, route);
     gint64 total = 0;
     guint best = 0;
     for (guint i = 0; i < route->parts->len; i++) {
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -1,4 +1,4 @@
-// Decisions of the gateway that need no socket: events, prompts, routes, splits, back ends.
+// Gateway components that need no socket: event streams, chain cache, routes, splits, back ends.
 #include <glib.h>
 
 extern "C" {
@@ -25,31 +25,31 @@
   protected:
     void SetUp() override {
         event_stream_init(&stream);
-        whole = g_string_new(nullptr);
+        complete = g_string_new(nullptr);
     }
     void TearDown() override {
         event_stream_clear(&stream);
-        g_string_free(whole, TRUE);
+        g_string_free(complete, TRUE);
     }
     void feed(const std::string &bytes) {
-        event_stream_feed(&stream, bytes.data(), bytes.size(), whole);
+        event_stream_feed(&stream, bytes.data(), bytes.size(), complete);
     }
     event_stream_t stream;
-    GString *whole;
+    GString *complete;
 };
 
-TEST_F(EventStream, PassesOnWholeEventsOnlyWhateverTheCuts) {
+TEST_F(EventStream, ForwardsOnlyCompleteEventsAtAnySplit) {
     const std::string text =
         "id: 1\ndata: one\n\nid: 2\r\ndata:two\r\n\r\nid: 3\ndata: a\ndata: b\n\n";
     for (size_t cut = 0; cut <= text.size(); cut++) {
         TearDown();
         SetUp();
         feed(text.substr(0, cut));
-        std::string first(whole->str, whole->len);
+        std::string first(complete->str, complete->len);
         EXPECT_EQ(text.compare(0, first.size(), first), 0);
         EXPECT_TRUE(first.empty() || first.back() == '\n');
         feed(text.substr(cut));
-        EXPECT_EQ(std::string(whole->str, whole->len), text) << cut;
+        EXPECT_EQ(std::string(complete->str, complete->len), text) << cut;
         EXPECT_EQ(stream.events, 3u);
         EXPECT_STREQ(stream.output->str, "one\ntwo\na\nb\n");
         EXPECT_STREQ(stream.last_id->str, "3");
@@ -57,12 +57,12 @@
     }
 }
 
-TEST_F(EventStream, AnEventThatBrokeOffIsNeitherPassedOnNorKept) {
+TEST_F(EventStream, DiscardsATruncatedEvent) {
     feed("id: 1\ndata: one\n\nid: 2\ndata: tw");
     EXPECT_FALSE(event_stream_at_boundary(&stream));
     event_stream_drop_partial(&stream);
     feed("id: 2\ndata: two\n\n");
-    EXPECT_STREQ(whole->str, "id: 1\ndata: one\n\nid: 2\ndata: two\n\n");
+    EXPECT_STREQ(complete->str, "id: 1\ndata: one\n\nid: 2\ndata: two\n\n");
     EXPECT_STREQ(stream.output->str, "one\ntwo\n");
 }
 
@@ -77,7 +77,7 @@
             nullptr};
 }
 
-TEST(ChainCache, JoinsTheChainOldestFirstAndNamesAMissingTurn) {
+TEST(ChainCache, JoinsTheChainOldestFirstAndReportsAMissingTurn) {
     chain_cache_t cache;
     chain_cache_init(&cache, 1 << 20);
     const char *turns[][2] = {{"a", ""}, {"b", "a"}, {"x", "a"}, {"d", "c"}};
@@ -96,7 +96,7 @@
     chain_cache_clear(&cache);
 }
 
-TEST(ChainCache, StaysWithinItsBoundAndDropsTheLeastRecentlyUsed) {
+TEST(ChainCache, StaysWithinItsLimitAndEvictsTheLeastRecentlyUsed) {
     chain_cache_t cache;
     chain_cache_init(&cache, 3000);
     for (int i = 0; i < 100; i++) {
@@ -136,7 +136,7 @@
     directory_configuration_unref(configuration);
 }
 
-TEST(Routes, OfTwoWithOnePrefixTheEarlierCountsAndHostsDoNotMix) {
+TEST(Routes, FirstOfTwoEqualPrefixesWinsAndHostsAreSeparate) {
     directory_configuration_t *configuration = directory_configuration_new();
     route_t *first = make_route("One.example", "/a/");
     directory_add_route(configuration, first);
@@ -148,9 +148,8 @@
     directory_configuration_unref(configuration);
 }
 
-// Before routes were found by hash, each look-up compared with every route. The times are printed,
-// not asserted: 1,672 routes took 35 us a look-up before and 0.2 us after on the machine at hand.
-TEST(Routes, BenchmarkOfALookUpAmongManyRoutes) {
+// Shows whether a lookup scans all routes; the time is printed, not asserted.
+TEST(Routes, LookupBenchmark) {
     enum { ROUTES = 1672, LOOK_UPS = 20000 };
     directory_configuration_t *configuration = directory_configuration_new();
     for (int i = 0; i < ROUTES; i++) {
@@ -169,7 +168,7 @@
     directory_configuration_unref(configuration);
 }
 
-TEST(Split, FollowsTheWeightsInEveryShortRun) {
+TEST(Split, FollowsTheWeightsInShortRuns) {
     route_t *route = make_route("h", "/");
     for (auto [service, weight] : {std::pair{"x", 90u}, std::pair{"y", 10u}, std::pair{"z", 0u}}) {
         route_part_t part = {g_strdup(service), weight};
@@ -216,14 +215,14 @@
     }
     std::string choose(GPtrArray *excluded = nullptr) {
         backend_choice_t choice = {"s", excluded, 2};
-        return note(backends_choose(&backends, &choice));
+        return record(backends_choose(&backends, &choice));
     }
     std::string choose_engine(uint64_t place) {
         backend_choice_t choice = {"s", nullptr, 2};
         engine_request_t request = {place, 7};
-        return note(backends_choose_engine(&backends, &choice, &request));
+        return record(backends_choose_engine(&backends, &choice, &request));
     }
-    std::string note(backend_t *chosen) {
+    std::string record(backend_t *chosen) {
         last = chosen;
         if (last != nullptr)
             under_way.push_back(last);
@@ -235,7 +234,7 @@
     std::vector<backend_t *> under_way;
 };
 
-TEST_F(Backends, NoCallGoesToOneThatIsLeavingOrGone) {
+TEST_F(Backends, SkipsLeavingAndRemovedBackEnds) {
     add("a", "here", true);
     EXPECT_EQ(choose(), "none");
     add("a", "here");
@@ -244,25 +243,25 @@
     EXPECT_EQ(choose(), "none");
 }
 
-TEST_F(Backends, AProgramStaysWithItsEngineUntilItsQueueIsLongAndAnotherIsIdle) {
+TEST_F(Backends, AProgramStaysAtItsEngineUntilTheQueueIsLongAndAnotherIsIdle) {
     for (const char *instance : {"a", "b", "c"})
         add(instance, "here");
     add("far", "there");
-    std::string home = choose_engine(0);
-    EXPECT_NE(home, "far");
+    std::string engine = choose_engine(0);
+    EXPECT_NE(engine, "far");
     uint64_t place = last->id_hash;
     release();
     int stayed = 0;
     std::string next = choose_engine(place);
-    for (; next == home && stayed < 20; next = choose_engine(place))
+    for (; next == engine && stayed < 20; next = choose_engine(place))
         stayed++;
-    EXPECT_GE(stayed, 2) << "both slots of the home are used";
-    EXPECT_LE(stayed, 8) << "the queue at the home stays short";
-    EXPECT_NE(next, "far") << "the zone has engines with room";
+    EXPECT_GE(stayed, 2) << "both slots of the engine are used";
+    EXPECT_LE(stayed, 8) << "the queue of the engine stays short";
+    EXPECT_NE(next, "far") << "the local zone has engines with free slots";
 }
 
-// 145 gateways of a zone all sent to the first of 555 equal back ends (service_choice_test.cc).
-TEST_F(Backends, GatewaysPreferDifferentOnesOfEqualBackEnds) {
+// Guards against all gateways of a zone sending to the same one of equal back ends.
+TEST_F(Backends, GatewaysPreferDifferentBackEndsAmongEquals) {
     std::set<std::string> preferred;
     for (unsigned gateway = 0; gateway < 20; gateway++) {
         TearDown();
@@ -276,7 +275,7 @@
     EXPECT_GT(preferred.size(), 8U);
 }
 
-TEST_F(Backends, WhatOtherGatewaysHaveUnderWayCounts) {
+TEST_F(Backends, CountsCallsOfOtherGateways) {
     add("a", "here");
     add("b", "here");
     std::string first = choose();
@@ -286,7 +285,7 @@
     EXPECT_NE(choose(), first);
 }
 
-TEST_F(Backends, OneThatResetsGetsNoCallsAndExclusionIsStrict) {
+TEST_F(Backends, SkipsABackEndAfterResetsAndNeverUsesExcludedOnes) {
     add("a", "here");
     add("b", "there");
     EXPECT_EQ(choose(), "a");
@@ -301,9 +300,8 @@
     g_ptr_array_free(excluded, TRUE);
 }
 
-// One choice looked at all of 6,666 back ends: 853 us for a service, 696 us for an engine, now 56
-// and 66 us; on a machine with 0.12 of a core all take eight times as long.
-TEST_F(Backends, ChoicesAmongThousands) {
+// Shows whether a choice scans the back ends of all zones; the time is printed, not asserted.
+TEST_F(Backends, ChoiceBenchmarkAmongThousands) {
     const char *const zones[] = {"here", "b", "c", "d", "e", "f"};
     for (unsigned i = 0; i < 6666; i++)
         add(("i-" + std::to_string(i)).c_str(), zones[i % 6]);
@@ -336,22 +334,22 @@
     http_headers_clear(&headers);
 }
 
-TEST_F(Backends, OneThatAnswersNothingAtOnceStaysOutLongerEachTime) {
+TEST_F(Backends, EjectionTimeGrowsWithRepeatedResets) {
     ejection_t ejection = {};
     uint64_t now = 10000;
     for (uint64_t out : {500, 1000, 2000, 4000, 4000}) {
         ejection_note_reset(&ejection, now);
-        ejection_note_reset(&ejection, now + 10); // A call that was under way as well.
+        ejection_note_reset(&ejection, now + 10); // Another call in progress.
         EXPECT_TRUE(ejection_is_out(&ejection, now + out));
         EXPECT_FALSE(ejection_is_out(&ejection, now + out + 11));
         now += out + 100;
     }
-    now += 10000; // Another outage begins anew.
+    now += 10000; // A later outage starts over.
     ejection_note_reset(&ejection, now);
     EXPECT_FALSE(ejection_is_out(&ejection, now + 501));
 }
 
-TEST_F(Backends, WhatTwoOtherGatewaysFindDownIsLeftOutHereToo) {
+TEST_F(Backends, EjectsABackEndReportedDownByTwoGateways) {
     add("a", "here");
     for (const char *far : {"b", "c", "d"})
         add(far, "there");
@@ -364,42 +362,42 @@
     release();
     ejection_note_told(&down->ejection, now + 300, now);
     EXPECT_NE(choose(), "a");
-    EXPECT_EQ(ejection_tell_ms(&down->ejection, now), 0U) << "hearsay is not passed on";
+    EXPECT_EQ(ejection_tell_ms(&down->ejection, now), 0U) << "reports of others are not forwarded";
     ejection_forget_told(&down->ejection);
     release();
     EXPECT_EQ(choose(), "a");
 }
 
-TEST_F(Backends, OneThatKeepsACallWaitingWithoutAWordGetsNoMoreUntilItEnds) {
+TEST_F(Backends, SkipsABackEndWhileACallThereIsOverdue) {
     add("a", "here");
     for (const char *far : {"b", "c", "d"})
         add(far, "there");
     EXPECT_EQ(choose(), "a");
-    backend_t *mute = last;
+    backend_t *stalled = last;
     uint64_t now = uv_now(&loop);
     uint64_t long_ago = now - 401;
-    uint64_t usual = now - 300;
-    backend_send_begun(mute, &usual);
+    uint64_t recent = now - 300;
+    backend_send_begun(stalled, &recent);
     release();
     EXPECT_EQ(choose(), "a") << "not overdue yet";
     release();
-    backend_send_ended(mute, &usual);
-    backend_send_begun(mute, &long_ago);
+    backend_send_ended(stalled, &recent);
+    backend_send_begun(stalled, &long_ago);
     EXPECT_NE(choose(), "a");
     release();
-    backend_send_ended(mute, &long_ago);
+    backend_send_ended(stalled, &long_ago);
     EXPECT_EQ(choose(), "a");
     release();
     uint64_t slow = now - 200;
-    backend_send_begun(mute, &slow);
-    backend_send_answered(mute, &slow);
-    backend_send_begun(mute, &long_ago);
-    EXPECT_EQ(choose(), "a") << "it is always slow";
+    backend_send_begun(stalled, &slow);
+    backend_send_answered(stalled, &slow);
+    backend_send_begun(stalled, &long_ago);
+    EXPECT_EQ(choose(), "a") << "its baseline is slow";
     release();
-    backend_send_ended(mute, &long_ago);
+    backend_send_ended(stalled, &long_ago);
 }
 
-TEST_F(Backends, IfMostSeemDownTheSignIsDoubtedAndLoadDecides) {
+TEST_F(Backends, LoadDecidesIfMostBackEndsSeemDown) {
     add("a", "here");
     add("b", "here");
     choose();
@@ -411,10 +409,10 @@
     int at_first = 0;
     for (const backend_t *backend : under_way)
         at_first += backend->record->instance == first;
-    EXPECT_GT(at_first, 5) << "one of two: it gets calls once the other is full";
+    EXPECT_GT(at_first, 5) << "with two back ends, it gets calls once the other is full";
 }
 
-TEST(Gateway, IsIsolatedOnlyIfOthersCanServeWhatItCannot) {
+TEST(Gateway, IsIsolatedOnlyIfOthersCanServe) {
     uv_loop_t loop;
     uv_loop_init(&loop);
     gateway_t gateway = {};
@@ -426,23 +424,23 @@
     gateway.stores_lost_at = uv_now(&loop) - 1000;
     EXPECT_TRUE(gateway_isolated(&gateway)) << "another gateway reaches them";
     gateway.others_have_stores = false;
-    EXPECT_FALSE(gateway_isolated(&gateway)) << "all have lost them, and stay ready";
+    EXPECT_FALSE(gateway_isolated(&gateway)) << "all gateways have lost them and stay ready";
     gateway.key_value_reachable = false;
     EXPECT_TRUE(gateway_isolated(&gateway)) << "it reaches nothing";
     gateway.stores_lost_at = uv_now(&loop);
-    EXPECT_FALSE(gateway_isolated(&gateway)) << "only just now";
+    EXPECT_FALSE(gateway_isolated(&gateway)) << "the loss is too recent";
     gateway.key_value_reachable = true;
     gateway.stores_lost_at = 0;
     gateway.zone_cut_since = 1;
-    EXPECT_TRUE(gateway_isolated(&gateway)) << "the zone is cut off, whatever else is reached";
+    EXPECT_TRUE(gateway_isolated(&gateway)) << "the zone is isolated, whatever else is reached";
     uv_loop_close(&loop);
 }
 
-TEST(Outage, ACallerComesBackLaterTheLongerTheOutageHasLasted) {
+TEST(Outage, RetryAfterGrowsWithTheOutage) {
     outage_t outage = {};
     outage_note(&outage, 5000);
     EXPECT_EQ(outage_come_back_ms(&outage, 5001), unsigned{OUTAGE_COME_BACK_LEAST_MS});
-    outage_note(&outage, 5300); // A later refusal does not begin it anew.
+    outage_note(&outage, 5300); // A later refusal does not restart it.
     EXPECT_EQ(outage_come_back_ms(&outage, 7000), 500U);
     EXPECT_EQ(outage_come_back_ms(&outage, 60000), unsigned{OUTAGE_COME_BACK_MOST_MS});
     outage_end(&outage);
