--- a/src/gateway/call.c
+++ b/src/gateway/call.c
@@ -1,8 +1,8 @@
 /*
- * Design. A caller gets exactly one final answer, from one of four places: the back end's whole
- * answer, its stream passed on event by event, a refusal that says the call has not run and
- * never will (429, 503, 402, 404, 408), or a failure that promises nothing (502, 504, or a
- * connection that ends in the middle). Which of the last two is decided by `may_have_run`.
+ * Design. A caller gets exactly one final response: the back end's complete response, its stream
+ * forwarded event by event, a refusal that guarantees that the call has not run and will not run
+ * (429, 503, 402, 404, 408), or a failure that guarantees nothing (502, 504, or an aborted
+ * connection). `may_have_run` selects between the last two.
  */
 #include "gateway/call.h"
 
@@ -22,7 +22,7 @@
     STATUS_UNAVAILABLE = 503,
     STATUS_TIMED_OUT = 504,
     MS_PER_S = 1000,
-    DEADLINE_USUAL_MS = 60000, /**< For a caller that names none. */
+    DEFAULT_DEADLINE_MS = 60000,
 };
 
 static const char *const reason_names[CALL_REASON_COUNT] = {
@@ -33,7 +33,7 @@
     "over_quota",      "quota_unsure",
 };
 
-static const char *const placing_names[PLACING_COUNT] = {"-", "new", "kept", "moved"};
+static const char *const affinity_names[AFFINITY_COUNT] = {"-", "new", "kept", "moved"};
 
 const char *call_field(const call_t *call, call_field_t field) {
     return http_headers_find(call->request->headers, call_field_name(field));
@@ -41,7 +41,7 @@
 
 uint64_t call_time_left(const call_t *call) {
     uint64_t now = uv_now(call->gateway->loop);
-    return call->limit > now ? call->limit - now : 0;
+    return call->deadline > now ? call->deadline - now : 0;
 }
 
 static void log_end(call_t *call, unsigned status, call_reason_t reason) {
@@ -53,7 +53,7 @@
     case CALL_ANSWERED:
         counters->answered++;
         break;
-    case CALL_CALLER_GONE:
+    case CALL_CALLER_DISCONNECTED:
         counters->callers_gone++;
         break;
     default:
@@ -66,7 +66,7 @@
               call->tenant == NULL ? "-" : call->tenant->name,
               call->program == NULL ? "-" : call->program, status, reason_names[reason],
               call->backend == NULL ? "-" : call->backend->record->instance,
-              placing_names[call->placing], call->sends, call->repeats, ms,
+              affinity_names[call->affinity], call->sends, call->repeats, ms,
               call->configuration == NULL ? 0 : call->configuration->version);
 }
 
@@ -84,39 +84,39 @@
     g_string_free(call->body, TRUE);
     g_string_free(call->prompt, TRUE);
     event_stream_clear(&call->events);
-    g_free(call->turn.missing);
+    g_free(call->turn.missing_turn);
     g_free(call);
 }
 
-/** Stops all that is under way; nothing calls back any more. */
+/** Logs the end of the call and cancels everything in progress; no callback follows. */
 static void end_call(call_t *call, unsigned status, call_reason_t reason) {
     call->ended = true;
     log_end(call, status, reason);
-    call_stop_backend(call);
+    call_cancel_exchange(call);
     call_turn_end(call);
     call_quota_end(call);
     call->caller = NULL;
-    uv_close((uv_handle_t *)&call->timer, free_call);
+    uv_close((uv_handle_t *)&call->deadline_timer, free_call);
 }
 
-/** What is left of the time that the caller named; UINT32_MAX: it named none. */
+/** Time left of the duration in a header field, in ms; UINT32_MAX if the field is absent. */
 static uint32_t field_time_left(const call_t *call, call_field_t field) {
     const char *text = call_field(call, field);
     if (text == NULL)
         return UINT32_MAX;
-    uint64_t named = strtoull(text, NULL, 10);
-    uint64_t passed = uv_now(call->gateway->loop) - call->arrived_at;
-    uint64_t left = named > passed ? named - passed : 0;
-    return (uint32_t)MIN(left, UINT32_MAX);
+    uint64_t given_ms = strtoull(text, NULL, 10);
+    uint64_t elapsed_ms = uv_now(call->gateway->loop) - call->arrived_at;
+    uint64_t left_ms = given_ms > elapsed_ms ? given_ms - elapsed_ms : 0;
+    return (uint32_t)MIN(left_ms, UINT32_MAX);
 }
 
-/** The outage that refuses calls for @p reason; NULL: none does. */
-static outage_t *outage_of(gateway_t *gateway, call_reason_t reason) {
+/** The outage tracked for refusals with @p reason; NULL: none. */
+static outage_t *outage_for_reason(gateway_t *gateway, call_reason_t reason) {
     switch (reason) {
-    case CALL_BUDGET_UNSURE:
-    case CALL_TURN_UNSURE:
-    case CALL_NO_ROOM:
-    case CALL_QUOTA_UNSURE:
+    case CALL_BUDGET_UNKNOWN:
+    case CALL_TURN_UNKNOWN:
+    case CALL_NO_SPACE:
+    case CALL_QUOTA_UNKNOWN:
         return &gateway->store_outage;
     case CALL_NO_CONFIGURATION:
         return &gateway->configuration_outage;
@@ -125,51 +125,52 @@
     }
 }
 
-static void note_isolated(const call_t *call, come_back_t *known) {
+static void describe_isolation(const call_t *call, come_back_t *refusal) {
     const gateway_t *gateway = call->gateway;
-    known->reason = COME_BACK_ISOLATED;
+    refusal->reason = COME_BACK_ISOLATED;
     if (gateway->zone_cut_since == 0)
         return;
-    known->lasted_ms = (uint32_t)(uv_now(gateway->loop) - gateway->zone_cut_since);
-    known->led_ms = GATEWAY_LED_ELSEWHERE_MS;
+    refusal->lasted_ms = (uint32_t)(uv_now(gateway->loop) - gateway->zone_cut_since);
+    refusal->led_ms = GATEWAY_LED_ELSEWHERE_MS;
 }
 
-/** What is known of the call, and of what it lacks. */
+/** Describes a refused call for the calculation of its retry-after time. */
 static come_back_t describe_refusal(call_t *call, call_reason_t reason) {
     gateway_t *gateway = call->gateway;
-    come_back_t known = {
+    come_back_t refusal = {
         .reason = COME_BACK_SOON,
         .time_left_ms = field_time_left(call, FIELD_DEADLINE_MS),
         .program_left_ms = field_time_left(call, FIELD_PROGRAM_DEADLINE),
     };
-    outage_t *outage = outage_of(gateway, reason);
-    bool engine_full = reason == CALL_BACKEND_REFUSED && call->engine_free_ms > 0;
+    outage_t *outage = outage_for_reason(gateway, reason);
+    bool engine_full = reason == CALL_BACKEND_REFUSED && call->engine_wait_ms > 0;
     if (reason == CALL_OVER_QUOTA || engine_full) {
-        known.reason = COME_BACK_KNOWN;
-        known.known_ms = engine_full ? call->engine_free_ms : call->quota.come_back_ms;
+        refusal.reason = COME_BACK_KNOWN;
+        refusal.known_ms = engine_full ? call->engine_wait_ms : call->quota.retry_after_ms;
     } else if (gateway_isolated(gateway)) {
-        note_isolated(call, &known);
+        describe_isolation(call, &refusal);
     } else if (outage != NULL) {
         outage_note(outage, call->arrived_at);
-        known.reason = COME_BACK_OUTAGE;
-        known.lasted_ms = outage_lasted_ms(outage, uv_now(gateway->loop));
+        refusal.reason = COME_BACK_OUTAGE;
+        refusal.lasted_ms = outage_lasted_ms(outage, uv_now(gateway->loop));
     }
-    return known;
+    return refusal;
 }
 
-/** What a caller that is refused for @p reason is told to wait, in ms. */
-static unsigned told_ms(call_t *call, call_reason_t reason) {
-    come_back_t known = describe_refusal(call, reason);
-    unsigned told = come_back_ms(&known);
-    if (known.led_ms == 0)
-        return told;
+/** Retry-after time of a call that is refused for @p reason, in ms. */
+static unsigned compute_retry_after_ms(call_t *call, call_reason_t reason) {
+    come_back_t refusal = describe_refusal(call, reason);
+    unsigned retry_after_ms = come_back_ms(&refusal);
+    if (refusal.led_ms == 0)
+        return retry_after_ms;
     call->gateway->counters.refused_zone_cut++;
     event_log(GATEWAY_COME_BACK, call->id == NULL ? "-" : call->id, reason_names[reason],
-              known.lasted_ms, known.led_ms, known.time_left_ms, known.program_left_ms, told);
-    return told;
+              refusal.lasted_ms, refusal.led_ms, refusal.time_left_ms, refusal.program_left_ms,
+              retry_after_ms);
+    return retry_after_ms;
 }
 
-static void append_come_back(GString *fields, unsigned ms) {
+static void append_retry_after(GString *fields, unsigned ms) {
     g_string_append_printf(fields, "Retry-After: %u.%03u\r\n", ms / MS_PER_S, ms % MS_PER_S);
 }
 
@@ -178,7 +179,7 @@
     if (call->id != NULL)
         g_string_append_printf(fields, "%s: %s\r\n", call_field_name(FIELD_CALL_ID), call->id);
     if (status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY)
-        append_come_back(fields, told_ms(call, reason));
+        append_retry_after(fields, compute_retry_after_ms(call, reason));
     http_caller_t *caller = call->caller;
     if (gateway_isolated(call->gateway))
         http_caller_close_after_answer(caller);
@@ -187,7 +188,7 @@
     g_string_free(fields, TRUE);
 }
 
-/** True if some back end may have run the call, or may run it yet. */
+/** True if some back end may have run the call, or may still run it. */
 static bool may_have_run(const call_t *call) {
     return call->may_have_run || (call->client != NULL && http_client_connected(call->client));
 }
@@ -219,8 +220,8 @@
     g_string_free(body, TRUE);
 }
 
-void call_pass_events(call_t *call) {
-    if (call->turn.counted && !call->turn.durable)
+void call_forward_events(call_t *call) {
+    if (call->turn.budgeted && !call->turn.reserve_durable)
         return;
     if (!call->head_sent) {
         call->head_sent = true;
@@ -233,19 +234,19 @@
 }
 
 void call_finish_stream(call_t *call) {
-    call_pass_events(call);
+    call_forward_events(call);
     http_caller_t *caller = call->caller;
     end_call(call, call->status, CALL_ANSWERED);
     http_caller_end(caller);
 }
 
-static void on_time_over(uv_timer_t *timer) {
+static void on_deadline(uv_timer_t *timer) {
     call_fail(timer->data, CALL_TIMED_OUT);
 }
 
-/** The caller's time and the route's, whichever ends first. */
-static uint64_t find_limit(const call_t *call) {
-    uint64_t allowed = DEADLINE_USUAL_MS;
+/** The earlier of the caller's deadline and the route's timeout, in ms of loop time. */
+static uint64_t compute_deadline(const call_t *call) {
+    uint64_t allowed = DEFAULT_DEADLINE_MS;
     const char *deadline = call_field(call, FIELD_DEADLINE_MS);
     if (deadline != NULL)
         allowed = strtoull(deadline, NULL, 10);
@@ -259,16 +260,15 @@
         call_refuse(call, STATUS_BAD_REQUEST, CALL_NO_ROUTE);
     else if (call->gateway->directory_confirmed)
         call_refuse(call, STATUS_NOT_FOUND, CALL_NO_ROUTE);
-    else /* The configuration in force may be a later one, and have the route. */
+    else /* A newer configuration that this gateway has not seen may have the route. */
         call_refuse(call, STATUS_UNAVAILABLE, CALL_NO_CONFIGURATION);
 }
 
 /**
- * Finds whose call it is; false if it has been refused. A key that is not known here may be a new
- * one, as long as the configuration in force can't be told: then the caller is not turned away for
- * good.
+ * Identifies the tenant by its key; false if the call has been refused. While the configuration may
+ * be stale, an unknown key may be a new one, so the refusal is temporary (503, not 401).
  */
-static bool find_tenant(call_t *call) {
+static bool identify_tenant(call_t *call) {
     const tenancy_t *tenancy = call->configuration->tenancy;
     if (tenancy == NULL)
         return true;
@@ -307,14 +307,14 @@
         call_refuse(call, STATUS_BAD_REQUEST, CALL_MALFORMED);
         return;
     }
-    if (!find_tenant(call))
+    if (!identify_tenant(call))
         return;
     call->service_name = split_next(gateway->split_credits, call->route);
     call->service = directory_find_service(call->configuration, call->service_name);
     call->program = call_field(call, FIELD_PROGRAM);
-    call->limit = find_limit(call);
-    uv_timer_start(&call->timer, on_time_over, call_time_left(call), 0);
-    if (call_turn_refuse_if_cut(call))
+    call->deadline = compute_deadline(call);
+    uv_timer_start(&call->deadline_timer, on_deadline, call_time_left(call), 0);
+    if (call_turn_refuse_if_isolated(call))
         return;
     if (call_quota_begin(call))
         call_turn_begin(call);
@@ -332,18 +332,18 @@
     call->body = g_string_new(NULL);
     call->prompt = g_string_new(NULL);
     event_stream_init(&call->events);
-    uv_timer_init(gateway->loop, &call->timer);
-    call->timer.data = call;
+    uv_timer_init(gateway->loop, &call->deadline_timer);
+    call->deadline_timer.data = call;
     http_caller_set_data(caller, call);
     gateway->counters.calls++;
     start_call(call);
 }
 
-static void on_gone(void *owner, http_caller_t *caller) {
+static void on_disconnect(void *owner, http_caller_t *caller) {
     (void)owner;
     call_t *call = http_caller_data(caller);
     if (call != NULL)
-        end_call(call, 0, CALL_CALLER_GONE);
+        end_call(call, 0, CALL_CALLER_DISCONNECTED);
 }
 
-const http_listener_handler_t call_listener_handler = {on_request, on_gone};
+const http_listener_handler_t call_listener_handler = {on_request, on_disconnect};
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -1,10 +1,11 @@
 /**
  * @file call.h
- * One call from its arrival to the end of its answer. call.c decides what the caller gets,
- * call_send.c takes the call to back ends, call_turn.c does what a turn of a program needs
- * besides: its budget, the turns it goes on from, and keeping it.
+ * One call, from its arrival to the end of its response. call.c decides what the caller gets,
+ * call_send.c exchanges requests and responses with back ends, call_retry.c decides on retries,
+ * call_quota.c applies the tenant's rate limit, call_pace.c measures the speed of back ends, and
+ * call_turn.c handles the budget of a program's turn, its previous turns and its storage.
  *
- * Thread safety: everything here belongs to the loop's thread.
+ * Thread safety: everything here runs on the loop's thread.
  */
 #ifndef RUDDERWAY_GATEWAY_CALL_H
 #define RUDDERWAY_GATEWAY_CALL_H
@@ -13,7 +14,7 @@
 #include "gateway/event_stream.h"
 #include "gateway/gateway.h"
 
-/** Why a call ended as it did; named in the log. */
+/** Why a call ended as it did; logged by name. */
 typedef enum {
     CALL_ANSWERED,
     CALL_NO_CONFIGURATION,
@@ -25,204 +26,213 @@
     CALL_BAD_ANSWER,
     CALL_TIMED_OUT,
     CALL_OVER_BUDGET,
-    CALL_BUDGET_UNSURE,
+    CALL_BUDGET_UNKNOWN, /**< No quorum of storage nodes decided on the reserve. */
     CALL_BUDGET_NOT_DURABLE,
     CALL_NO_SUCH_TURN,
-    CALL_TURN_UNSURE,
-    CALL_TURN_NOT_KEPT,
-    CALL_NO_ROOM,
-    CALL_CALLER_GONE,
+    CALL_TURN_UNKNOWN, /**< The previous turns could not be read, or storage is out of reach. */
+    CALL_TURN_NOT_STORED,
+    CALL_NO_SPACE, /**< Too few storage nodes have free space for the reserve or the turn. */
+    CALL_CALLER_DISCONNECTED,
     CALL_STOPPING,
     CALL_UNKNOWN_KEY,
-    CALL_OTHER_TENANT,
+    CALL_OTHER_TENANT, /**< The previous turn belongs to another tenant. */
     CALL_OVER_QUOTA,
-    CALL_QUOTA_UNSURE,
+    CALL_QUOTA_UNKNOWN, /**< No storage node decided on the quota. */
     CALL_REASON_COUNT,
 } call_reason_t;
 
-/** How a program's engine was chosen; named in the log. */
+/** Affinity of a program's call to the engine that has the program's prompt; logged by name. */
 typedef enum {
-    PLACING_NONE,  /**< No engine, or none yet. */
-    PLACING_NEW,   /**< None was known to hold its prompt. */
-    PLACING_KEPT,  /**< The one that holds it. */
-    PLACING_MOVED, /**< Another one, which reads it again. */
-    PLACING_COUNT,
-} placing_t;
-
-/** What a turn of a program needs besides the way to a back end. */
+    AFFINITY_NONE,  /**< Not sent to an engine. */
+    AFFINITY_NEW,   /**< No engine is known to have the prompt. */
+    AFFINITY_KEPT,  /**< Sent to the engine that has it. */
+    AFFINITY_MOVED, /**< Sent to another engine, which processes the whole prompt. */
+    AFFINITY_COUNT,
+} engine_affinity_t;
+
+/** Storage state of a program's turn: budget reserve, previous turns, storing of the turn. */
 typedef struct {
-    bool counted;  /**< The program's budget bounds this call. */
-    bool reserved; /**< The reserve was asked for; it must be settled. */
-    bool granted;
-    bool begun;    /**< Its program has made other calls, as its charges show. */
-    bool durable;  /**< The reserve survives a loss of power: pieces may go out. */
-    uint64_t most; /**< Tokens that the call may make. */
-    store_operation_t *reserve;
-    store_operation_t *chain;
-    store_operation_t *keep;
-    char *missing; /**< The turn that is being read. */
+    bool budgeted;        /**< The program's budget bounds this call. */
+    bool reserved;        /**< A reserve was requested and must be settled. */
+    bool granted;         /**< The reserve was granted. */
+    bool program_started; /**< The program has charges or reserves of other calls. */
+    bool reserve_durable; /**< The reserve is on disk: events may be forwarded. */
+    uint64_t max_tokens;  /**< Maximum number of tokens that the call may generate. */
+    store_operation_t *reserve_operation;
+    store_operation_t *chain_operation;
+    store_operation_t *put_operation;
+    char *missing_turn; /**< Id of the turn being read from the storage nodes. */
     bool prompt_ready;
-    bool stream_ended; /**< The engine's stream has ended well; the turn is being kept. */
+    bool stream_completed; /**< The engine's stream is complete; the turn is being stored. */
 } call_turn_t;
 
-/** What a call needs of its tenant's limit. */
+/** Rate limit state of a call. */
 typedef struct {
-    quota_ask_t *ask; /**< Under way. */
-    bool granted;     /**< A token is held that no send has used. */
-    uint64_t until;   /**< Its end, loop time in ms. */
-    uint32_t come_back_ms;
+    quota_ask_t *pending;      /**< Request in progress; NULL: none. */
+    bool token_held;           /**< A token was granted and not yet used by a send. */
+    uint64_t token_expires_at; /**< Loop time in ms. */
+    uint32_t retry_after_ms;
 } call_quota_t;
 
-/** When the present send's events came; see call_pace.c. */
+/** Event times of the current send, in ms of loop time; see call_pace.c. */
 typedef struct {
-    uint64_t sent_at;      /**< Of the send that this is of. */
-    uint64_t first_at;     /**< When its first events had come, loop time in ms, */
-    unsigned first_events; /**< and how many events there were by then. */
-    uint64_t last_at;
-    unsigned events; /**< By then. */
-} call_pace_t;
+    uint64_t sent_at;      /**< Identifies the send that this belongs to. */
+    uint64_t first_at;     /**< Arrival of the send's first events. */
+    unsigned first_events; /**< The call's event count at first_at. */
+    uint64_t last_at;      /**< Arrival of the latest events. */
+    unsigned events;       /**< The call's event count at last_at. */
+} call_speed_t;
 
 typedef struct call {
     gateway_t *gateway;
-    http_caller_t *caller; /**< NULL once answered or gone. */
+    http_caller_t *caller; /**< NULL once answered or disconnected. */
     const http_request_t *request;
     directory_configuration_t *configuration;
     const route_t *route;
     const service_t *service;
     const char *service_name;
     const char *id;
-    const char *program;    /**< NULL: a plain call. */
-    const tenant_t *tenant; /**< NULL: nobody's, on a route open to all or without tenants. */
+    const char *program;    /**< NULL: the call belongs to no program. */
+    const tenant_t *tenant; /**< NULL: the route is open to all, or there are no tenants. */
     uint64_t arrived_at;
-    uint64_t limit; /**< Loop time until which an answer may come, ms. */
-    uv_timer_t timer;
+    uint64_t deadline; /**< Loop time in ms. */
+    uv_timer_t deadline_timer;
     bool ended;
-    placing_t placing;
-    uint64_t place; /**< Back end at which the program last ran (its hash); 0: unknown. */
+    engine_affinity_t affinity;
+    uint64_t last_engine; /**< Hash of the engine that last ran the program; 0: unknown. */
 
-    /* At an engine that is chosen by cost; see engine_turn.h. */
-    unsigned engine_load;         /**< Other calls there when this one was sent. */
-    uint32_t engine_again_tokens; /**< Of the prompt, read there although another engine has it. */
-    uint32_t engine_free_ms;      /**< Time until some engine has room; 0: not known. */
+    /* Cost-based placement; see engine_turn.h. */
+    unsigned engine_load;              /**< Other calls at the engine when this one was sent. */
+    uint32_t engine_recomputed_tokens; /**< Prompt tokens processed again after a move. */
+    uint32_t engine_wait_ms;           /**< Time until an engine can accept the call; 0: unknown. */
 
-    /* The way to back ends. */
-    backend_t *backend; /**< Where the call is now; NULL: nowhere. */
+    /* Sends to back ends. */
+    backend_t *backend; /**< Back end of the current send; NULL: none. */
     http_client_t *client;
-    GPtrArray *tried; /**< Back ends that failed or refused; each with a reference. */
-    unsigned sends;   /**< Times that any byte may have reached a back end. */
-    uint64_t sent_at; /**< When the present send began, loop time in ms. */
+    GPtrArray *tried; /**< Back ends that failed or refused; holds a reference to each. */
+    unsigned sends;   /**< Sends of which any byte may have reached a back end. */
+    uint64_t sent_at; /**< Start of the current send, loop time in ms. */
     unsigned connects_failed;
     unsigned backends_sent;  /**< Back ends that any byte may have reached. */
-    unsigned backends_ended; /**< Of these, the ones that have ended or can't be reached. */
-    unsigned repeats;        /**< Times it went to the same back end again. */
-    bool repeating;          /**< The present send is such a time. */
-    unsigned same_connects_failed;
-    uint64_t heard_at; /**< When the answer's latest bytes came; or `sent_at`. */
-    bool answered;     /**< An answer to the present send has begun. */
-    bool misdirected;  /**< The back end's address belongs to another now. */
-    bool may_have_run; /**< Some back end may have run it. */
-    GString *prompt;   /**< The turns that this one goes on from. */
-
-    /* The answer. */
+    unsigned backends_ended; /**< Of these, the ones that have ended or are unreachable. */
+    unsigned repeats;        /**< Resends to the same back end. */
+    bool repeating;          /**< The current send is a resend to the same back end. */
+    unsigned repeat_connects_failed;
+    uint64_t heard_at; /**< When bytes of the response were last received; initially `sent_at`. */
+    bool answered;     /**< A response to the current send has begun. */
+    bool misdirected;  /**< The back end's address now belongs to another instance. */
+    bool may_have_run; /**< Some back end may have run the call. */
+    GString *prompt;   /**< Prompt made of the previous turns. */
+
+    /* The response. */
     unsigned status;
-    bool not_run;    /**< The back end says that it did not run the call. */
-    bool streaming;  /**< Passed on as events. */
-    bool head_sent;  /**< The caller has the answer's head. */
-    GString *fields; /**< The answer's header lines for the caller. */
-    GString *body;   /**< A whole answer, or events that wait for the budget. */
+    bool not_run;    /**< The back end reports that it did not run the call. */
+    bool streaming;  /**< Forwarded event by event. */
+    bool head_sent;  /**< The response head was sent to the caller. */
+    GString *fields; /**< Response header lines for the caller. */
+    GString *body;   /**< A complete response, or events that wait for a durable reserve. */
     event_stream_t events;
-    call_pace_t pace;
+    call_speed_t speed;
     call_turn_t turn;
     call_quota_t quota;
 } call_t;
 
 /* call.c */
 
-/** Ends the call with an answer of the gateway's own. */
+/** Ends the call with a response generated by the gateway. */
 void call_refuse(call_t *call, unsigned status, call_reason_t reason);
-/** Ends the call with the back end's whole answer. */
+/** Ends the call with the back end's complete response. */
 void call_answer(call_t *call);
-/** Ends a call whose answer has begun, so that it can't look complete; or answers 502. */
+/**
+ * Ends the call as failed. If the response has begun, aborts the connection so that the response
+ * does not look complete; otherwise answers 502 or 504, or 503 if the call has not run.
+ */
 void call_fail(call_t *call, call_reason_t reason);
-/** Ends a call whose stream has gone out whole. */
+/** Ends a call whose stream is complete. */
 void call_finish_stream(call_t *call);
-/** Passes on the events that may go out now. */
-void call_pass_events(call_t *call);
-/** Milliseconds until the call's limit. */
+/** Forwards the buffered events unless they wait for a durable reserve. */
+void call_forward_events(call_t *call);
+/** Milliseconds until the call's deadline. */
 uint64_t call_time_left(const call_t *call);
 const char *call_field(const call_t *call, call_field_t field);
 
 /* call_send.c */
 
-/** Sends the call to a back end, or to another one; refuses it if there is none. */
+/** Sends the call to a back end that it has not been sent to; fails it if there is none. */
 void call_send(call_t *call);
-/** Sends the call to the back end where it is once more. */
-void call_send_same(call_t *call);
-/** Leaves the present back end, and does not choose it again for this call. */
-void call_leave_backend(call_t *call);
-/** Ends the exchange with the back end, which stops its work. */
-void call_stop_backend(call_t *call);
+/** Resends the call to its current back end. */
+void call_send_same_backend(call_t *call);
+/** Releases the current back end and excludes it from further choices for this call. */
+void call_exclude_backend(call_t *call);
+/** Closes the exchange with the back end, which cancels its work, and releases the back end. */
+void call_cancel_exchange(call_t *call);
 
 /* call_pace.c */
 
-/** The answer's head has come: measures the back end, unless it answers by events. */
-void call_pace_note_head(const call_t *call, unsigned status);
-/** Events have come. */
-void call_pace_note_events(call_t *call);
-/** The stream has ended well: measures the back end. */
-void call_pace_note_stream(const call_t *call);
+/** Records the response time of a back end that does not answer with a stream. */
+void call_speed_record_head(const call_t *call, unsigned status);
+/** Records the arrival time of events. */
+void call_speed_record_events(call_t *call);
+/** Records the time per event of a completed stream. */
+void call_speed_record_stream(const call_t *call);
 
 /* call_retry.c */
 
 /** True if the call may run more than once. */
 bool call_repeatable(const call_t *call);
-/** True if it may, and its route allows one more back end. */
-bool call_may_go_elsewhere(const call_t *call);
+/** True if the call is repeatable and its route allows one more back end. */
+bool call_may_use_other_backend(const call_t *call);
 void call_log_send_failed(const call_t *call, const char *reason);
-/** The last send's outcome is unknown: sends again if the call may run twice. */
-void call_outcome_unknown(call_t *call, call_reason_t reason);
-/** The last back end did not run the call: sends it to another if the route allows. */
-void call_not_run(call_t *call);
-/** No byte of the last send left this process. */
-void call_not_sent(call_t *call);
-/** Notes how long an answer took that has just begun. */
-void call_note_answer_time(const call_t *call);
-/** True if the answer to the present send is late and the call should be sent once more. */
+/** Handles a send with an unknown outcome: resends a repeatable call, fails any other. */
+void call_handle_unknown_outcome(call_t *call, call_reason_t reason);
+/** Handles a refusal as not run: sends the call to another back end if the route allows it. */
+void call_handle_not_run(call_t *call);
+/** Handles a send of which no byte left this process. */
+void call_handle_not_sent(call_t *call);
+/** Records the time to a response that has just begun. */
+void call_record_answer_time(const call_t *call);
+/**
+ * True if the response to the current send is late and the call should be resent. Takes one retry
+ * from the late-response budget in that case.
+ */
 bool call_answer_is_late(call_t *call, uint64_t now);
-/** The back end goes on without this call. */
+/** Handles a call that the back end lost while it serves others. */
 void call_lost_at_backend(call_t *call, const char *reason);
-/** The back end can't be connected to any more. */
+/** Handles a back end that no longer accepts connections. */
 void call_backend_unreachable(call_t *call);
 
 /* call_quota.c */
 
-/** Asks for a token of the tenant's limit; false if the call has been refused. */
+/** Requests a token of the tenant's rate limit; false if the call has been refused. */
 bool call_quota_begin(call_t *call);
-/** True if the call may be sent now; if not, it is sent or refused later, or has been refused. */
+/**
+ * True if the call may be sent now. Otherwise it waits for a token, or has been refused. Requests a
+ * new token if the granted one has expired.
+ */
 bool call_quota_ready(call_t *call);
-/** A send begins: it uses the token up. */
-void call_quota_note_send(call_t *call);
-/** The latest send was not run: its token may serve another one. */
-void call_quota_note_not_run(call_t *call);
-/** Ends what is under way, and gives back what was not used. */
+/** Uses up the held token for a send, or charges the send if none is held. */
+void call_quota_record_send(call_t *call);
+/** Makes the token of the latest send, which was not run, available again. */
+void call_quota_record_not_run(call_t *call);
+/** Cancels a pending request and gives an unused token back. */
 void call_quota_end(call_t *call);
 
 /* call_turn.c */
 
 /**
- * Notes whether the call's program has a budget that bounds it. Refuses a call that needs storage
- * nodes while the zone is cut off, before it takes anything else; true if it did.
+ * Determines whether a program budget bounds the call. While the zone is isolated, refuses a call
+ * that needs storage nodes before it acquires anything; true if refused.
  */
-bool call_turn_refuse_if_cut(call_t *call);
+bool call_turn_refuse_if_isolated(call_t *call);
 
-/** Sends the call if nothing that it needs is missing any more. */
+/** Sends the call if its prompt, budget reserve and quota token are available. */
 void call_turn_send_if_ready(call_t *call);
 
-/** Begins what a turn needs; sends the call once it may be sent. */
+/** Starts the reserve and the reads of previous turns; sends the call once it is ready. */
 void call_turn_begin(call_t *call);
-/** The stream has ended well: keeps the turn if need be, then ends the call. */
-void call_turn_stream_ended(call_t *call);
-/** Ends the operations under way and settles the budget. */
+/** Handles a completed stream: stores the turn if the route requires it, then ends the call. */
+void call_turn_stream_completed(call_t *call);
+/** Cancels the operations in progress and settles the budget. */
 void call_turn_end(call_t *call);
 
 #endif
--- a/src/gateway/call_quota.c
+++ b/src/gateway/call_quota.c
@@ -1,8 +1,8 @@
 /*
- * Design. A call of a tenant with a limit needs a token before it goes to a back end. It is asked
- * for beside the program's budget and the turns before, so that a turn waits for it no longer. A
- * token is used up by a send that a back end may run; a further send of the same call is charged
- * without asking, since the call has been let in.
+ * Design. A call of a rate-limited tenant needs a token before it is sent. The token is requested
+ * in parallel with the budget reserve and the previous turns, so that it adds no latency to a turn.
+ * A send that a back end may run uses up the token. Further sends of the same call are charged
+ * without a request, since the call has been admitted.
  */
 #include "gateway/call.h"
 
@@ -21,29 +21,29 @@
     return value != NULL && *value != '\0';
 }
 
-/** True if the call asks as one of a program. */
+/** True if the request for a token names the call's program. */
 static bool names_program(const call_t *call) {
     return call->gateway->settings->whole_programs && has_text(call, FIELD_PROGRAM);
 }
 
-/** True if the call shows that its program has had an answer; one that doesn't may have, too. */
-static bool shows_begun(const call_t *call) {
+/** True if the call proves that its program has had a response; false proves nothing. */
+static bool shows_program_started(const call_t *call) {
     return call->program != NULL &&
            (call->route->kind != CALL_STREAM || has_text(call, FIELD_PREVIOUS_TURN) ||
             has_text(call, FIELD_LAST_EVENT));
 }
 
-/** True if the time by which the call's program should have ended is over. */
-static bool is_late(const call_t *call) {
+/** True if the program's deadline has passed. */
+static bool is_past_program_deadline(const call_t *call) {
     return has_text(call, FIELD_PROGRAM_DEADLINE) &&
            strtod(call_field(call, FIELD_PROGRAM_DEADLINE), NULL) <= 0;
 }
 
-static void note_over(call_t *call, const quota_result_t *result) {
+static void count_over_quota(call_t *call, const quota_result_t *result) {
     gateway_counters_t *counters = &call->gateway->counters;
     counters->over_quota++;
     counters->programs_not_begun += result->not_begun;
-    if (result->not_begun || !shows_begun(call))
+    if (result->not_begun || !shows_program_started(call))
         return;
     counters->begun_over_quota++;
     if (call->gateway->settings->whole_programs)
@@ -51,32 +51,32 @@
                   result->wait_ms);
 }
 
-/** Takes an outcome; false if the call has been refused. */
-static bool take_result(call_t *call, const quota_result_t *result) {
+/** Applies the outcome of a request; false if the call has been refused. */
+static bool apply_result(call_t *call, const quota_result_t *result) {
     call_quota_t *quota = &call->quota;
     switch (result->outcome) {
     case QUOTA_GRANTED:
-        quota->granted = true;
-        quota->until = result->until;
+        quota->token_held = true;
+        quota->token_expires_at = result->until;
         return true;
     case QUOTA_WAITING:
         return true;
     case QUOTA_OVER:
-        quota->come_back_ms = result->wait_ms;
-        note_over(call, result);
+        quota->retry_after_ms = result->wait_ms;
+        count_over_quota(call, result);
         call_refuse(call, STATUS_TOO_MANY, CALL_OVER_QUOTA);
         return false;
     case QUOTA_UNSURE:
         break;
     }
-    call_refuse(call, STATUS_UNAVAILABLE, CALL_QUOTA_UNSURE);
+    call_refuse(call, STATUS_UNAVAILABLE, CALL_QUOTA_UNKNOWN);
     return false;
 }
 
 static void on_result(void *owner, const quota_result_t *result) {
     call_t *call = owner;
-    call->quota.ask = NULL;
-    if (take_result(call, result))
+    call->quota.pending = NULL;
+    if (apply_result(call, result))
         call_turn_send_if_ready(call);
 }
 
@@ -86,46 +86,46 @@
     const quota_call_t asking = {
         .program = names_program(call) ? call->program : NULL,
         .route = call->route->name,
-        .begun = shows_begun(call),
-        .late = is_late(call),
+        .begun = shows_program_started(call),
+        .late = is_past_program_deadline(call),
         .time_left_ms = (uint32_t)MIN(call_time_left(call), UINT32_MAX),
     };
     quota_result_t result =
         quota_client_ask(call->gateway->quotas, call->tenant, call->configuration->version, &asking,
-                         on_result, call, &call->quota.ask);
-    return take_result(call, &result);
+                         on_result, call, &call->quota.pending);
+    return apply_result(call, &result);
 }
 
 bool call_quota_ready(call_t *call) {
     call_quota_t *quota = &call->quota;
     if (!is_limited(call))
         return true;
-    if (quota->granted && uv_now(call->gateway->loop) <= quota->until)
+    if (quota->token_held && uv_now(call->gateway->loop) <= quota->token_expires_at)
         return true;
-    if (quota->ask != NULL)
+    if (quota->pending != NULL)
         return false;
-    quota->granted = false;
-    return call_quota_begin(call) && quota->granted;
+    quota->token_held = false;
+    return call_quota_begin(call) && quota->token_held;
 }
 
-void call_quota_note_send(call_t *call) {
+void call_quota_record_send(call_t *call) {
     if (!is_limited(call))
         return;
-    if (!call->quota.granted)
+    if (!call->quota.token_held)
         quota_client_charge(call->gateway->quotas, call->tenant, call->configuration->version);
-    call->quota.granted = false;
+    call->quota.token_held = false;
 }
 
-void call_quota_note_not_run(call_t *call) {
-    call->quota.granted = is_limited(call);
+void call_quota_record_not_run(call_t *call) {
+    call->quota.token_held = is_limited(call);
 }
 
 void call_quota_end(call_t *call) {
     call_quota_t *quota = &call->quota;
-    if (quota->ask != NULL)
-        quota_ask_cancel(quota->ask);
-    quota->ask = NULL;
-    if (quota->granted)
-        quota_client_give_back(call->gateway->quotas, call->tenant, quota->until);
-    quota->granted = false;
+    if (quota->pending != NULL)
+        quota_ask_cancel(quota->pending);
+    quota->pending = NULL;
+    if (quota->token_held)
+        quota_client_give_back(call->gateway->quotas, call->tenant, quota->token_expires_at);
+    quota->token_held = false;
 }
--- a/src/gateway/call_retry.c
+++ b/src/gateway/call_retry.c
@@ -1,10 +1,10 @@
 /*
- * Design. After a send that did not bring an answer, core/retry/resend.h decides where the call
- * goes next. Only a call that may run more than once goes anywhere after an outcome that is
- * unknown. A stream goes on after the last event that its caller has.
+ * Design. After a send without a response, core/retry/resend.h decides where the call goes next.
+ * After an unknown outcome only a repeatable call is resent. A stream resumes after the last event
+ * that its caller received.
  *
- * Failures. A back end to which nothing can be sent any more, right after it had the call, has
- * ended; one refused connection is not enough, since a busy back end resets some.
+ * Failures. A back end that received the call and then accepts no connection has ended. One failed
+ * connection is not enough, since a busy back end resets some connections.
  */
 #include "gateway/call.h"
 
@@ -13,10 +13,10 @@
 #include "gateway/engine_turn.h"
 
 enum {
-    CONNECT_FAILURES_MAXIMUM = 4,
-    SAME_CONNECTS_NEEDED = 2, /**< So many fail before a back end that had the call has ended. */
-    ROUTES_TIMED_MAXIMUM = 10000, /**< Routes whose usual time is known, at most. */
-    LEAST_MS = 5,                 /**< With less time left a call is not sent any more. */
+    MAX_CONNECT_FAILURES = 4,
+    MAX_REPEAT_CONNECT_FAILURES = 2, /**< Then a back end that received the call has ended. */
+    MAX_TIMED_ROUTES = 10000,        /**< Routes with recorded response times. */
+    MIN_TIME_LEFT_MS = 5,            /**< Minimum time left for a resend. */
 };
 
 bool call_repeatable(const call_t *call) {
@@ -28,31 +28,31 @@
     event_log(GATEWAY_SEND_FAILED, call->id, call->backend->record->instance, reason, call->sends);
 }
 
-static resend_state_t state_of(const call_t *call) {
+static resend_state_t describe_sends(const call_t *call) {
     bool usable = call->backend != NULL && !call->backend->gone && !call->backend->record->leaving;
     return (resend_state_t){
         .attempts = call->route->attempts,
         .backends = call->backends_sent,
         .ended = call->backends_ended,
         .repeats = call->repeats,
-        .time_left = call_time_left(call) > LEAST_MS,
+        .time_left = call_time_left(call) > MIN_TIME_LEFT_MS,
         .same_usable = usable,
     };
 }
 
-/* Late answers, of plain calls that may run again; streams have signs of their own (silence.h). */
+/* Late responses of repeatable calls. Stalled streams are detected by silence.h. */
 
 static bool is_plain_repeatable(const call_t *call) {
     return call->route->kind == CALL_REPEATABLE;
 }
 
-void call_note_answer_time(const call_t *call) {
+void call_record_answer_time(const call_t *call) {
     gateway_t *gateway = call->gateway;
     if (!is_plain_repeatable(call))
         return;
     answer_time_t *times = g_hash_table_lookup(gateway->answer_times, call->route->name);
     if (times == NULL) {
-        if (g_hash_table_size(gateway->answer_times) >= ROUTES_TIMED_MAXIMUM)
+        if (g_hash_table_size(gateway->answer_times) >= MAX_TIMED_ROUTES)
             g_hash_table_remove_all(gateway->answer_times);
         times = g_new0(answer_time_t, 1);
         g_hash_table_insert(gateway->answer_times, g_strdup(call->route->name), times);
@@ -68,43 +68,43 @@
     const answer_time_t *times = g_hash_table_lookup(gateway->answer_times, call->route->name);
     if (times == NULL || now - call->sent_at < answer_time_late_ms(times))
         return false;
-    resend_state_t state = state_of(call);
+    resend_state_t state = describe_sends(call);
     return resend_unknown(&state) != RESEND_NO && retry_budget_take(&gateway->late_budget);
 }
 
-bool call_may_go_elsewhere(const call_t *call) {
-    resend_state_t state = state_of(call);
+bool call_may_use_other_backend(const call_t *call) {
+    resend_state_t state = describe_sends(call);
     return call_repeatable(call) && resend_not_run(&state) == RESEND_ELSEWHERE;
 }
 
-static void send_elsewhere(call_t *call) {
-    call_leave_backend(call);
+static void send_to_other_backend(call_t *call) {
+    call_exclude_backend(call);
     event_stream_drop_partial(&call->events);
     call->gateway->counters.sent_again++;
     call_send(call);
 }
 
-static void send_same(call_t *call) {
+static void resend_to_same_backend(call_t *call) {
     event_stream_drop_partial(&call->events);
     call->repeats++;
     call->gateway->counters.sent_same++;
-    call_send_same(call);
+    call_send_same_backend(call);
 }
 
 static void give_up(call_t *call, call_reason_t reason) {
-    call_leave_backend(call);
+    call_exclude_backend(call);
     call_fail(call, reason);
 }
 
-void call_outcome_unknown(call_t *call, call_reason_t reason) {
+void call_handle_unknown_outcome(call_t *call, call_reason_t reason) {
     call->may_have_run = true;
-    resend_state_t state = state_of(call);
+    resend_state_t state = describe_sends(call);
     switch (call_repeatable(call) ? resend_unknown(&state) : RESEND_NO) {
     case RESEND_ELSEWHERE:
-        send_elsewhere(call);
+        send_to_other_backend(call);
         break;
     case RESEND_SAME:
-        send_same(call);
+        resend_to_same_backend(call);
         break;
     case RESEND_NO:
         give_up(call, reason);
@@ -112,44 +112,44 @@
     }
 }
 
-void call_not_run(call_t *call) {
-    call_quota_note_not_run(call);
-    bool moved = call->repeating && call->misdirected;
-    call->backends_ended += moved;
-    engine_turn_refused(call);
-    resend_state_t state = state_of(call);
-    bool again = resend_not_run(&state) == RESEND_ELSEWHERE;
-    if (again && (call_repeatable(call) || !call->may_have_run))
-        send_elsewhere(call);
+void call_handle_not_run(call_t *call) {
+    call_quota_record_not_run(call);
+    bool replaced = call->repeating && call->misdirected;
+    call->backends_ended += replaced;
+    call_placement_refused(call);
+    resend_state_t state = describe_sends(call);
+    bool retry = resend_not_run(&state) == RESEND_ELSEWHERE;
+    if (retry && (call_repeatable(call) || !call->may_have_run))
+        send_to_other_backend(call);
     else
         give_up(call, CALL_BACKEND_REFUSED);
 }
 
-/** Nothing could be sent to a back end that had the call before. */
-static void same_not_connected(call_t *call) {
-    call->same_connects_failed++;
-    if (call->same_connects_failed < SAME_CONNECTS_NEEDED) {
-        call_send_same(call);
+/** Handles a failed connection to a back end that has received the call before. */
+static void handle_repeat_not_sent(call_t *call) {
+    call->repeat_connects_failed++;
+    if (call->repeat_connects_failed < MAX_REPEAT_CONNECT_FAILURES) {
+        call_send_same_backend(call);
         return;
     }
     call->backends_ended++;
-    send_elsewhere(call);
+    send_to_other_backend(call);
 }
 
-void call_not_sent(call_t *call) {
+void call_handle_not_sent(call_t *call) {
     call->sends--;
-    call_quota_note_not_run(call);
+    call_quota_record_not_run(call);
     if (call->repeating) {
-        same_not_connected(call);
+        handle_repeat_not_sent(call);
         return;
     }
     call->backends_sent--;
     call->connects_failed++;
-    if (call->connects_failed >= CONNECT_FAILURES_MAXIMUM) {
+    if (call->connects_failed >= MAX_CONNECT_FAILURES) {
         give_up(call, CALL_NO_BACKEND);
         return;
     }
-    call_leave_backend(call);
+    call_exclude_backend(call);
     call_send(call);
 }
 
@@ -164,7 +164,7 @@
     close_client(call);
     if (!call->streaming)
         g_string_truncate(call->body, 0);
-    call_outcome_unknown(call, CALL_BACKEND_LOST);
+    call_handle_unknown_outcome(call, CALL_BACKEND_LOST);
 }
 
 void call_backend_unreachable(call_t *call) {
--- a/src/gateway/call_send.c
+++ b/src/gateway/call_send.c
@@ -1,10 +1,10 @@
 /*
- * Design. Each send goes to one back end and names the instance it is meant for, because an
- * address may have been given to another. Whether the call may be sent again depends on what is
- * known of the last send: not sent, refused as not run, or unknown; and on its kind.
+ * Design. Each send goes to one back end and names the expected instance, because the address may
+ * have been reassigned. Whether the call may be resent depends on its kind and on the outcome of
+ * the last send: not sent, refused as not run, or unknown.
  *
- * Failures. An answer whose id is another call's, a success without the back end's signature,
- * and an answer that breaks off are all treated as no answer; their bytes go nowhere.
+ * Failures. A response with the id of another call, a success without the back end's signature, and
+ * a truncated response are treated as no response; none of their bytes are forwarded.
  */
 #include "gateway/call.h"
 
@@ -19,10 +19,10 @@
 enum {
     STATUS_OK = 200,
     STATUS_MULTIPLE_CHOICES = 300,
-    STATUS_MISDIRECTED = 421, /**< Another instance has the address. */
+    STATUS_MISDIRECTED = 421, /**< The address belongs to another instance. */
     STATUS_SERVER_ERROR = 500,
     STATUS_UNAVAILABLE = 503,
-    ANSWER_BYTES_MAXIMUM = 16 * 1024 * 1024,
+    MAX_ANSWER_BYTES = 16 * 1024 * 1024,
 };
 
 static void release_backend(call_t *call) {
@@ -34,14 +34,14 @@
     call->backend = NULL;
 }
 
-void call_stop_backend(call_t *call) {
+void call_cancel_exchange(call_t *call) {
     if (call->client != NULL)
         http_client_close(call->client);
     call->client = NULL;
     release_backend(call);
 }
 
-void call_leave_backend(call_t *call) {
+void call_exclude_backend(call_t *call) {
     backend_t *backend = call->backend;
     backend->references++;
     g_ptr_array_add(call->tried, backend);
@@ -52,16 +52,16 @@
     return strcasecmp(name, call_field_name(field)) == 0;
 }
 
-/** The caller's header fields, without those that are the gateway's to set. */
+/** Appends the caller's header fields except hop-by-hop fields and those that the gateway sets. */
 static void append_fields(const call_t *call, GString *request) {
     const http_headers_t *headers = call->request->headers;
-    bool goes_on = call->events.events > 0;
-    bool keys = call->configuration->tenancy != NULL;
+    bool resumes = call->events.events > 0;
+    bool strips_key = call->configuration->tenancy != NULL;
     for (size_t i = 0; i < http_headers_count(headers); i++) {
         const char *name = http_headers_name(headers, i);
         bool skip = http_header_is_hop_by_hop(name) || call_field_is_own(name) ||
-                    (keys && is_field(name, FIELD_KEY)) ||
-                    (goes_on && is_field(name, FIELD_LAST_EVENT));
+                    (strips_key && is_field(name, FIELD_KEY)) ||
+                    (resumes && is_field(name, FIELD_LAST_EVENT));
         if (!skip)
             g_string_append_printf(request, "%s: %s\r\n", name, http_headers_value(headers, i));
     }
@@ -91,7 +91,7 @@
     return request;
 }
 
-/* The answer. */
+/* The response. */
 
 static void copy_fields(call_t *call, const http_headers_t *headers) {
     g_string_truncate(call->fields, 0);
@@ -107,7 +107,7 @@
     return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES;
 }
 
-static bool answer_is_sound(const call_t *call, const http_answer_head_t *head) {
+static bool answer_is_valid(const call_t *call, const http_answer_head_t *head) {
     const char *id = http_headers_find(head->headers, call_field_name(FIELD_CALL_ID));
     if (id == NULL || strcmp(id, call->id) != 0)
         return false;
@@ -117,31 +117,31 @@
            http_headers_find(head->headers, "Content-Encoding") == NULL;
 }
 
-static void note_heard(call_t *call) {
+static void record_received(call_t *call) {
     call->heard_at = uv_now(call->gateway->loop);
     call->backend->signs.heard_at = call->heard_at;
 }
 
 static bool on_head(void *user, const http_answer_head_t *head) {
     call_t *call = user;
-    note_heard(call);
+    record_received(call);
     call->answered = true;
     backend_send_answered(call->backend, &call->sent_at);
-    call_note_answer_time(call);
-    if (!answer_is_sound(call, head)) {
+    call_record_answer_time(call);
+    if (!answer_is_valid(call, head)) {
         call_log_send_failed(call, "unsound_answer");
-        /* The parser is at work on this connection: it closes the connection itself. */
+        /* Called from the parser of this connection, which closes the connection itself. */
         call->client = NULL;
-        call_outcome_unknown(call, CALL_BAD_ANSWER);
+        call_handle_unknown_outcome(call, CALL_BAD_ANSWER);
         return false;
     }
-    call_pace_note_head(call, head->status);
+    call_speed_record_head(call, head->status);
     call->misdirected = head->status == STATUS_MISDIRECTED;
     call->not_run = call->misdirected ||
                     http_headers_find(head->headers, call_field_name(FIELD_NOT_RUN)) != NULL;
-    bool goes_on = call->head_sent;
+    bool resumes = call->head_sent;
     call->streaming = call->route->kind == CALL_STREAM && is_success(head->status);
-    if (goes_on)
+    if (resumes)
         return true;
     call->status = head->status;
     copy_fields(call, head->headers);
@@ -152,48 +152,48 @@
 
 static void on_body(void *user, const char *data, size_t length) {
     call_t *call = user;
-    note_heard(call);
+    record_received(call);
     if (!call->streaming) {
-        if (call->body->len + length <= ANSWER_BYTES_MAXIMUM)
+        if (call->body->len + length <= MAX_ANSWER_BYTES)
             g_string_append_len(call->body, data, (gssize)length);
         return;
     }
     size_t before = call->body->len;
-    bool begins = call->events.events == 0;
+    bool is_first = call->events.events == 0;
     event_stream_feed(&call->events, data, length, call->body);
-    call_pace_note_events(call);
-    if (begins && call->events.events > 0)
-        engine_turn_begun(call);
+    call_speed_record_events(call);
+    if (is_first && call->events.events > 0)
+        call_placement_first_event(call);
     if (call->body->len > before)
-        call_pass_events(call);
+        call_forward_events(call);
 }
 
 static void on_complete(void *user) {
     call_t *call = user;
     backend_keep(call->backend, call->client);
     call->client = NULL;
-    /* What the call waits for from here on is not the back end. */
+    /* From here on the call does not wait for the back end. */
     silence_watch_remove(&call->gateway->silence_watch, call);
     if (call->not_run) {
         call_log_send_failed(call, "not_run");
         g_string_truncate(call->body, 0);
-        call_not_run(call);
+        call_handle_not_run(call);
         return;
     }
     if (call->streaming) {
-        call_pace_note_stream(call);
+        call_speed_record_stream(call);
         if (event_stream_at_boundary(&call->events)) {
-            engine_turn_ended(call);
-            call_turn_stream_ended(call);
+            call_placement_completed(call);
+            call_turn_stream_completed(call);
         } else
-            call_outcome_unknown(call, CALL_BAD_ANSWER);
+            call_handle_unknown_outcome(call, CALL_BAD_ANSWER);
         return;
     }
-    bool failed_there = call->status >= STATUS_SERVER_ERROR;
-    if (failed_there && call_may_go_elsewhere(call)) {
+    bool server_error = call->status >= STATUS_SERVER_ERROR;
+    if (server_error && call_may_use_other_backend(call)) {
         call_log_send_failed(call, "server_error");
         g_string_truncate(call->body, 0);
-        call_outcome_unknown(call, CALL_BAD_ANSWER);
+        call_handle_unknown_outcome(call, CALL_BAD_ANSWER);
         return;
     }
     if (call->head_sent)
@@ -203,12 +203,11 @@
 }
 
 /**
- * The program's next turn, at whichever gateway, is not to go back to an engine that ended this
- * one's connection at once: such an engine is down, and what it held of the program with it.
- * Programs lost all their tries at an engine that reset every call: 17 of 54 that failed in a day.
+ * Clears the engine recorded for the program after a quick reset. The engine is probably down and
+ * its prompt cache lost; otherwise the program would spend all its retries there.
  */
-static void forget_place(const call_t *call) {
-    if (call->turn.counted)
+static void clear_last_engine(const call_t *call) {
+    if (call->turn.budgeted)
         store_client_tell_place(call->gateway->stores, call->program, 0);
 }
 
@@ -217,34 +216,33 @@
     call->client = NULL;
     if (failure == HTTP_FAILURE_NOT_SENT) {
         call_log_send_failed(call, "not_sent");
-        call_not_sent(call);
+        call_handle_not_sent(call);
         return;
     }
     bool quick = uv_now(call->gateway->loop) <= call->sent_at + QUICK_RESET_MS;
     if (failure == HTTP_FAILURE_NO_ANSWER && quick) {
         backend_note_reset(call->backend);
-        forget_place(call);
+        clear_last_engine(call);
         backend_probe(call->backend);
         load_sharing_tell_now(call->gateway->load_sharing);
     }
     call_log_send_failed(call, failure == HTTP_FAILURE_NO_ANSWER ? "no_answer" : "broken_answer");
     if (!call->streaming)
         g_string_truncate(call->body, 0);
-    call_outcome_unknown(call, CALL_BACKEND_LOST);
+    call_handle_unknown_outcome(call, CALL_BACKEND_LOST);
 }
 
 static const http_exchange_handler_t exchange_handler = {on_head, on_body, on_complete, on_failed};
 
-/** Hash of what engines are ranked by for a program that has none yet; see engine_choice.h. */
-static uint64_t part_hash(const call_t *call) {
+/** Hash that ranks engines for a program that has none yet; see engine_choice.h. */
+static uint64_t prompt_part_hash(const call_t *call) {
     const char *parts = call_field(call, FIELD_PROMPT_PARTS);
-    const char *text = call->turn.counted ? parts : call->program;
+    const char *text = call->turn.budgeted ? parts : call->program;
     if (text == NULL)
         return 0;
     return XXH64(text, strcspn(text, ":"), 0);
 }
 
-/** Chooses a back end; false if there is none. */
 static bool choose_backend(call_t *call) {
     backends_t *backends = &call->gateway->backends;
     load_sharing_refresh(call->gateway->load_sharing);
@@ -253,33 +251,33 @@
         .excluded = call->tried,
         .slots = call->service == NULL ? 0 : call->service->slots,
     };
-    engine_request_t request = {.place = call->place, .part = part_hash(call)};
-    if (engine_turn_by_cost(call))
-        return engine_turn_choose(call, &choice, request.part);
+    engine_request_t request = {.place = call->last_engine, .part = prompt_part_hash(call)};
+    if (call_placement_by_cost(call))
+        return call_placement_choose(call, &choice, request.part);
     bool engine = call->service != NULL && call->service->engine;
     call->backend = engine ? backends_choose_engine(backends, &choice, &request)
                            : backends_choose(backends, &choice);
     return call->backend != NULL;
 }
 
-/** Lets other gateways know where the program's prompt is. */
-static void note_place(call_t *call) {
-    bool known = call->place == call->backend->id_hash;
+/** Records the chosen engine and reports a change to the storage nodes for other gateways. */
+static void record_engine(call_t *call) {
+    bool known = call->last_engine == call->backend->id_hash;
     if (call->service == NULL || !call->service->engine)
         return;
-    call->placing = known ? PLACING_KEPT : call->place == 0 ? PLACING_NEW : PLACING_MOVED;
-    if (known || !call->turn.counted)
+    call->affinity = known ? AFFINITY_KEPT : call->last_engine == 0 ? AFFINITY_NEW : AFFINITY_MOVED;
+    if (known || !call->turn.budgeted)
         return;
-    call->place = call->backend->id_hash;
-    store_client_tell_place(call->gateway->stores, call->program, call->place);
+    call->last_engine = call->backend->id_hash;
+    store_client_tell_place(call->gateway->stores, call->program, call->last_engine);
 }
 
-/** Sends the call to the back end that it has a place at. */
+/** Sends the call to its back end, where it is already counted as in progress. */
 static void send_to_backend(call_t *call) {
     gateway_t *gateway = call->gateway;
     call->client = backend_connect(&gateway->backends, call->backend);
     if (call->client == NULL) {
-        call_leave_backend(call);
+        call_exclude_backend(call);
         call_fail(call, CALL_NO_BACKEND);
         return;
     }
@@ -288,7 +286,7 @@
     call->sent_at = uv_now(gateway->loop);
     call->heard_at = call->sent_at;
     call->sends++;
-    call_quota_note_send(call);
+    call_quota_record_send(call);
     gateway->counters.sends++;
     backend_send_begun(call->backend, &call->sent_at);
     if (call_repeatable(call))
@@ -299,17 +297,17 @@
 
 void call_send(call_t *call) {
     if (!choose_backend(call)) {
-        call_fail(call, call->engine_free_ms > 0 ? CALL_BACKEND_REFUSED : CALL_NO_BACKEND);
+        call_fail(call, call->engine_wait_ms > 0 ? CALL_BACKEND_REFUSED : CALL_NO_BACKEND);
         return;
     }
     call->backends_sent++;
-    call->same_connects_failed = 0;
+    call->repeat_connects_failed = 0;
     call->repeating = false;
-    note_place(call);
+    record_engine(call);
     send_to_backend(call);
 }
 
-void call_send_same(call_t *call) {
+void call_send_same_backend(call_t *call) {
     backend_t *backend = call->backend;
     backend_take(backend);
     release_backend(call);
--- a/src/gateway/engine_turn.h
+++ b/src/gateway/engine_turn.h
@@ -1,9 +1,9 @@
 /**
  * @file engine_turn.h
- * A call's way to an engine that is chosen by cost: what is known of its prompt, what is logged and
- * counted of the choice, and what is learned from its answer.
+ * Cost-based placement of a call: describes its prompt, chooses the engine, logs and counts the
+ * choice, and updates the engine's load model from the response.
  *
- * Thread safety: everything here belongs to the loop's thread.
+ * Thread safety: everything here runs on the loop's thread.
  */
 #ifndef RUDDERWAY_GATEWAY_ENGINE_TURN_H
 #define RUDDERWAY_GATEWAY_ENGINE_TURN_H
@@ -11,14 +11,17 @@
 #include "gateway/call.h"
 
 /** True if the call goes to an engine that is chosen by cost. */
-bool engine_turn_by_cost(const call_t *call);
-/** Chooses the engine; false if there is none, or all are full. @p part: see engine_choice.h. */
-bool engine_turn_choose(call_t *call, const backend_choice_t *choice, uint64_t part);
-/** The engine turned the call away as not run, whether or not it goes elsewhere. */
-void engine_turn_refused(call_t *call);
-/** The first event has come. */
-void engine_turn_begun(const call_t *call);
-/** The engine's stream has ended well. */
-void engine_turn_ended(const call_t *call);
+bool call_placement_by_cost(const call_t *call);
+/**
+ * Chooses the engine; false if there is none, or all are full.
+ * @param part Hash that ranks engines for the prompt's first part; see engine_choice.h.
+ */
+bool call_placement_choose(call_t *call, const backend_choice_t *choice, uint64_t part);
+/** Records that the engine refused the call as not run. */
+void call_placement_refused(call_t *call);
+/** Records the arrival of the first event. */
+void call_placement_first_event(const call_t *call);
+/** Records the end of a complete stream. */
+void call_placement_completed(const call_t *call);
 
 #endif
--- a/tests/unit/engine_turn_test.cc
+++ b/tests/unit/engine_turn_test.cc
@@ -1,4 +1,4 @@
-// What a gateway makes of a call to an engine that is chosen by cost.
+// Cost-based placement of calls at engines that are almost full.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -13,10 +13,10 @@
 
 constexpr unsigned SLOTS = 6;
 
-/** A gateway with one engine, whose queue is known to be full to three quarters. */
-class EngineTurn : public testing::Test {
+/** A gateway with one engine whose queue is three quarters full. */
+class CallPlacement : public testing::Test {
   protected:
-    EngineTurn() {
+    CallPlacement() {
         uv_loop_init(&loop);
         gateway.loop = &loop;
         backends_init(&gateway.backends, &loop, "here", "10.0.0.1:77");
@@ -37,7 +37,7 @@
         call.request = &request;
         request.headers = &headers;
     }
-    ~EngineTurn() override {
+    ~CallPlacement() override {
         http_headers_clear(&headers);
         backends_clear(&gateway.backends);
         uv_loop_close(&loop);
@@ -50,7 +50,7 @@
     }
     bool choose() {
         backend_choice_t choice = {"models", nullptr, SLOTS};
-        bool chosen = engine_turn_choose(&call, &choice, 7);
+        bool chosen = call_placement_choose(&call, &choice, 7);
         if (chosen)
             backend_release(call.backend);
         return chosen;
@@ -63,25 +63,25 @@
     call_t call = {};
 };
 
-TEST_F(EngineTurn, TheRestOfAQueueIsNotForANewProgram) {
+TEST_F(CallPlacement, RefusesANewProgramInTheReservedPartOfTheQueue) {
     EXPECT_FALSE(choose());
-    EXPECT_GT(call.engine_free_ms, 0U);
+    EXPECT_GT(call.engine_wait_ms, 0U);
 }
 
-// An engine that turned a program's call away is forgotten as its place; the caller's next try was
-// taken for a new program, and refused without a send.
-TEST_F(EngineTurn, AProgramThatLostItsPlaceIsStillUnderWay) {
+// After an engine refused a program's call, the program has no recorded engine. Its next attempt
+// must not be refused as that of a new program.
+TEST_F(CallPlacement, AcceptsAStartedProgramWithoutARecordedEngine) {
     set(FIELD_PREVIOUS_TURN, "t-1");
     EXPECT_TRUE(choose());
 }
 
-// Turns of programs that bring their whole prompt name no turn before.
-TEST_F(EngineTurn, AProgramWithChargesOfOtherCallsIsUnderWay) {
-    call.turn.begun = true;
+// Turns that carry the whole prompt name no previous turn.
+TEST_F(CallPlacement, AcceptsAProgramWithChargesOfOtherCalls) {
+    call.turn.program_started = true;
     EXPECT_TRUE(choose());
 }
 
-TEST_F(EngineTurn, AnEmptyPreviousTurnIsNone) {
+TEST_F(CallPlacement, TreatsAnEmptyPreviousTurnAsNone) {
     set(FIELD_PREVIOUS_TURN, "");
     EXPECT_FALSE(choose());
 }
