--- a/src/gateway/backend_choice.c
+++ b/src/gateway/backend_choice.c
@@ -153,8 +153,8 @@
 }
 
 /**
- * True if the choice stands without more remote engines: it is local, or it is the program's engine
- * and that is not crowded.
+ * True if remote engines need not be considered: the chosen engine is local, or is the program's
+ * engine and not crowded.
  */
 static bool local_engine_suffices(const candidates_t *candidates, const engine_request_t *request,
                                   unsigned index) {
--- a/src/gateway/call.c
+++ b/src/gateway/call.c
@@ -260,7 +260,7 @@
         call_refuse(call, STATUS_BAD_REQUEST, CALL_NO_ROUTE);
     else if (call->gateway->directory_confirmed)
         call_refuse(call, STATUS_NOT_FOUND, CALL_NO_ROUTE);
-    else /* A newer configuration that this gateway has not seen may have the route. */
+    else /* The route may be in a newer configuration that this gateway has not received. */
         call_refuse(call, STATUS_UNAVAILABLE, CALL_NO_CONFIGURATION);
 }
 
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -185,9 +185,9 @@
 void call_log_send_failed(const call_t *call, const char *reason);
 /** Handles a send with an unknown outcome: resends a repeatable call, fails any other. */
 void call_handle_unknown_outcome(call_t *call, call_reason_t reason);
-/** Handles a refusal as not run: sends the call to another back end if the route allows it. */
+/** Handles a response that the call was not run: tries another back end if the route allows it. */
 void call_handle_not_run(call_t *call);
-/** Handles a send of which no byte left this process. */
+/** Handles a send that failed before any byte was sent. */
 void call_handle_not_sent(call_t *call);
 /** Records the time to a response that has just begun. */
 void call_record_answer_time(const call_t *call);
@@ -196,7 +196,7 @@
  * from the late-response budget in that case.
  */
 bool call_answer_is_late(call_t *call, uint64_t now);
-/** Handles a call that the back end lost while it serves others. */
+/** Handles a call whose response is late or overtaken, or whose back end is unreachable. */
 void call_lost_at_backend(call_t *call, const char *reason);
 /** Handles a back end that no longer accepts connections. */
 void call_backend_unreachable(call_t *call);
@@ -212,7 +212,7 @@
 bool call_quota_ready(call_t *call);
 /** Uses up the held token for a send, or charges the send if none is held. */
 void call_quota_record_send(call_t *call);
-/** Makes the token of the latest send, which was not run, available again. */
+/** Makes the token used by the latest send available again, because the call was not run. */
 void call_quota_record_not_run(call_t *call);
 /** Cancels a pending request and gives an unused token back. */
 void call_quota_end(call_t *call);
--- a/src/gateway/call_quota.c
+++ b/src/gateway/call_quota.c
@@ -26,7 +26,7 @@
     return call->gateway->settings->whole_programs && has_text(call, FIELD_PROGRAM);
 }
 
-/** True if the call proves that its program has had a response; false proves nothing. */
+/** True if the call proves that its program has had a response; false: it is unknown. */
 static bool shows_program_started(const call_t *call) {
     return call->program != NULL &&
            (call->route->kind != CALL_STREAM || has_text(call, FIELD_PREVIOUS_TURN) ||
--- a/src/gateway/call_retry.c
+++ b/src/gateway/call_retry.c
@@ -14,7 +14,7 @@
 
 enum {
     MAX_CONNECT_FAILURES = 4,
-    MAX_REPEAT_CONNECT_FAILURES = 2, /**< Then a back end that received the call has ended. */
+    MAX_REPEAT_CONNECT_FAILURES = 2, /**< Then the back end is considered ended. */
     MAX_TIMED_ROUTES = 10000,        /**< Routes with recorded response times. */
     MIN_TIME_LEFT_MS = 5,            /**< Minimum time left for a resend. */
 };
@@ -40,7 +40,7 @@
     };
 }
 
-/* Late responses of repeatable calls. Stalled streams are detected by silence.h. */
+/* Late responses of repeatable calls. For stalled streams see core/retry/silence.h. */
 
 static bool is_plain_repeatable(const call_t *call) {
     return call->route->kind == CALL_REPEATABLE;
--- a/src/gateway/call_send.c
+++ b/src/gateway/call_send.c
@@ -172,7 +172,7 @@
     call_t *call = user;
     backend_keep(call->backend, call->client);
     call->client = NULL;
-    /* From here on the call does not wait for the back end. */
+    /* The response is complete: the call no longer waits for the back end. */
     silence_watch_remove(&call->gateway->silence_watch, call);
     if (call->not_run) {
         call_log_send_failed(call, "not_run");
--- a/src/gateway/call_turn.c
+++ b/src/gateway/call_turn.c
@@ -131,7 +131,7 @@
 
 static void assemble_prompt(call_t *call);
 
-/** Answers like a missing turn, or 503 while the owner of the key may have changed. */
+/** Refuses like for a missing turn, or with 503 while the owner of the key may have changed. */
 static void refuse_other_tenants_turn(call_t *call) {
     if (gateway_directory_current(call->gateway))
         call_refuse(call, STATUS_NOT_FOUND, CALL_OTHER_TENANT);
--- a/src/gateway/engine_turn.c
+++ b/src/gateway/engine_turn.c
@@ -73,7 +73,7 @@
               from == NULL ? 0 : backend_load(from), call->engine_load);
 }
 
-/** True if the program has earlier calls or sends, whose work a refusal would waste. */
+/** True if the program has made earlier calls or sends; a refusal would waste their work. */
 static bool is_program_started(const call_t *call) {
     const char *previous = call_field(call, FIELD_PREVIOUS_TURN);
     bool has_previous = previous != NULL && *previous != '\0';
--- a/src/gateway/event_stream.c
+++ b/src/gateway/event_stream.c
@@ -15,7 +15,7 @@
     g_string_free(stream->last_id, TRUE);
 }
 
-/** The value in a line of field @p name; NULL if the line is of another field. */
+/** The value in a line of field @p name; NULL if the line holds another field. */
 static const char *field_value(const char *line, size_t length, const char *name,
                                size_t *value_length) {
     size_t name_length = strlen(name);
