--- a/src/gateway/directory_feed.c
+++ b/src/gateway/directory_feed.c
@@ -5,27 +5,26 @@
 #include "common/event.h"
 
 enum {
-    BACKLOG_MOST_BYTES = 4 * 1024 * 1024, /**< A follower that reads no faster is let go. */
-    BEAT_MS = 1000, /**< Followers hear at least this often, so that they know how old it is. */
+    BACKLOG_MAX_BYTES = 4 * 1024 * 1024, /**< A follower with more unsent data is dropped. */
+    HEARTBEAT_MS = 1000,                 /**< Messages without changes carry the age of the view. */
 };
 
-/** A gateway that follows this one. */
 typedef struct {
     frame_connection_t *connection;
-    uint64_t known; /**< What it knew when it came. */
-    uint64_t view;  /**< Digest of the view that it had then. */
-    bool told;      /**< It has the whole view; until then it gets nothing else. */
+    uint64_t revision; /**< Revision of its view when it connected. */
+    uint64_t view;     /**< Digest of its view at that time. */
+    bool complete;     /**< It has the complete view; nothing else is sent before. */
 } follower_t;
 
 struct directory_feed {
-    uv_timer_t timer; /**< Runs while something is to be told. */
-    uv_timer_t beat;  /**< Runs while there are followers. */
+    uv_timer_t timer;     /**< Runs while a message is due. */
+    uv_timer_t heartbeat; /**< Runs while there are followers. */
     directory_feed_read_t read;
     void *owner;
-    GHashTable *followers; /**< Serial number of a connection to follower_t. */
-    GArray *changes;       /**< Of key_value_item_t: noted and not told yet. */
-    bool noted;            /**< There are changes, of whichever items. */
-    uint64_t told;         /**< The revision that followers were last told. */
+    GHashTable *followers;  /**< Connection serial number to follower_t. */
+    GArray *changes;        /**< Of key_value_item_t: not sent yet. */
+    bool pending;           /**< A message is due, with or without changed items. */
+    uint64_t sent_revision; /**< Latest revision sent to followers. */
 };
 
 static directory_feed_state_t read_state(const directory_feed_t *feed) {
@@ -34,13 +33,13 @@
     return state;
 }
 
-/** The whole view; an empty one tells followers to go elsewhere. */
+/** The complete view; one without a directory makes followers leave. */
 static GBytes *encode_all(const directory_feed_state_t *state) {
     message_t message;
     message_init(&message, MESSAGE_DIRECTORY);
-    message.revision = state->known;
+    message.revision = state->revision;
     message.answer_age = state->answer_age;
-    if (state->watching)
+    if (state->followable)
         message.directory = directory_snapshot_encode(state->snapshot);
     GBytes *bytes = message_encode(&message);
     message_clear(&message);
@@ -59,7 +58,7 @@
 static GBytes *encode_changes(const directory_feed_state_t *state, const GArray *changes) {
     message_t message;
     message_init(&message, MESSAGE_DIRECTORY_CHANGES);
-    message.revision = state->known;
+    message.revision = state->revision;
     message.answer_age = state->answer_age;
     message.directory = directory_changes_encode(changes);
     GBytes *bytes = message_encode(&message);
@@ -67,17 +66,17 @@
     return bytes;
 }
 
-/** Sends to each follower that has the whole view; takes over @p bytes. */
+/** Sends to each follower that has the complete view; takes ownership of @p bytes. */
 static void send_to_all(directory_feed_t *feed, GBytes *bytes) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, feed->followers);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const follower_t *follower = value;
-        if (!follower->told)
+        if (!follower->complete)
             continue;
-        /* One that does not read misses this and hears no more: it finds another way. */
-        if (frame_connection_backlog(follower->connection) > BACKLOG_MOST_BYTES)
+        /* A follower that does not read is dropped; it leaves this source as its view ages. */
+        if (frame_connection_backlog(follower->connection) > BACKLOG_MAX_BYTES)
             g_hash_table_iter_remove(&iterator);
         else
             frame_connection_send(follower->connection, g_bytes_ref(bytes));
@@ -92,23 +91,23 @@
     return bytes;
 }
 
-/** The first frame: a view may take seconds, and the follower should not give up meanwhile. */
+/** The first message: keeps the follower from timing out while a large view is sent. */
 static GBytes *encode_accepted(const directory_feed_state_t *state) {
     message_t message;
     message_init(&message, MESSAGE_DIRECTORY_KNOWN);
-    message.revision = state->known;
+    message.revision = state->revision;
     GBytes *bytes = message_encode(&message);
     message_clear(&message);
     return bytes;
 }
 
-/** Gives a new follower the whole view, once that is no older than what the follower knows. */
-static void welcome(directory_feed_t *feed, follower_t *follower,
-                    const directory_feed_state_t *state) {
-    if (follower->told || state->known == 0 || state->known < follower->known)
+/** Sends a new follower the complete view, once that is at least as recent as its own. */
+static void send_initial(directory_feed_t *feed, follower_t *follower,
+                         const directory_feed_state_t *state) {
+    if (follower->complete || state->revision == 0 || state->revision < follower->revision)
         return;
-    follower->told = true;
-    feed->told = state->known;
+    follower->complete = true;
+    feed->sent_revision = state->revision;
     frame_connection_send(follower->connection, encode_accepted(state));
     bool same = follower->view != 0 && follower->view == state->snapshot->digest;
     if (state->group != NULL)
@@ -117,54 +116,56 @@
                           same ? encode_no_changes(state) : encode_all(state));
 }
 
-static void welcome_all(directory_feed_t *feed, const directory_feed_state_t *state) {
+static void send_initial_to_all(directory_feed_t *feed, const directory_feed_state_t *state) {
     GHashTableIter iterator;
     gpointer follower;
     g_hash_table_iter_init(&iterator, feed->followers);
     while (g_hash_table_iter_next(&iterator, NULL, &follower))
-        welcome(feed, follower, state);
+        send_initial(feed, follower, state);
 }
 
-static void tell_changes(directory_feed_t *feed, const directory_feed_state_t *state) {
-    feed->told = state->known;
+static void send_changes(directory_feed_t *feed, const directory_feed_state_t *state) {
+    feed->sent_revision = state->revision;
     send_to_all(feed, encode_changes(state, feed->changes));
     g_array_set_size(feed->changes, 0);
-    feed->noted = false;
+    feed->pending = false;
 }
 
-static void on_tell(uv_timer_t *timer) {
+static void on_send(uv_timer_t *timer) {
     directory_feed_t *feed = timer->data;
     directory_feed_state_t state = read_state(feed);
-    if (!state.watching) {
+    if (!state.followable) {
         send_to_all(feed, encode_all(&state));
         return;
     }
-    /* While a listing goes on what it shows is told, but not that nothing is missing. A listing of
-     * 10,000 back ends takes seconds; followers that heard nothing meanwhile all listed themselves,
-     * and a configuration came into force only at its end. */
-    bool listing = state.known == 0;
+    /*
+     * During a listing changes are sent, but the revision does not advance. Without them followers
+     * would consider the source failed during a long listing and list the service themselves, and a
+     * new configuration would be delayed until its end.
+     */
+    bool listing = state.revision == 0;
     if (listing)
-        state.known = feed->told;
-    if (feed->noted && state.known > 0)
-        tell_changes(feed, &state);
+        state.revision = feed->sent_revision;
+    if (feed->pending && state.revision > 0)
+        send_changes(feed, &state);
     if (!listing)
-        welcome_all(feed, &state);
+        send_initial_to_all(feed, &state);
 }
 
-static void on_beat(uv_timer_t *timer) {
+static void on_heartbeat(uv_timer_t *timer) {
     directory_feed_t *feed = timer->data;
     if (g_hash_table_size(feed->followers) == 0) {
         uv_timer_stop(timer);
         return;
     }
-    feed->noted = true;
-    on_tell(&feed->timer);
+    feed->pending = true;
+    on_send(&feed->timer);
 }
 
-/** In the next turn of the loop: a watch's answer brings several items. */
-static void tell_soon(directory_feed_t *feed) {
+/** Sends in the next loop iteration, because one response to a watch contains several items. */
+static void send_soon(directory_feed_t *feed) {
     if (g_hash_table_size(feed->followers) > 0)
-        uv_timer_start(&feed->timer, on_tell, 0, 0);
+        uv_timer_start(&feed->timer, on_send, 0, 0);
 }
 
 directory_feed_t *directory_feed_new(uv_loop_t *loop, directory_feed_read_t read, void *owner) {
@@ -175,30 +176,31 @@
     feed->changes = directory_changes_new();
     uv_timer_init(loop, &feed->timer);
     feed->timer.data = feed;
-    uv_timer_init(loop, &feed->beat);
-    feed->beat.data = feed;
+    uv_timer_init(loop, &feed->heartbeat);
+    feed->heartbeat.data = feed;
     return feed;
 }
 
-bool directory_feed_add(directory_feed_t *feed, frame_connection_t *connection, uint64_t known,
+bool directory_feed_add(directory_feed_t *feed, frame_connection_t *connection, uint64_t revision,
                         uint64_t view) {
     directory_feed_state_t state = read_state(feed);
-    event_log(GATEWAY_DIRECTORY_FOLLOWER, g_hash_table_size(feed->followers), known, state.known);
-    if (!state.watching || state.known == 0)
+    event_log(GATEWAY_DIRECTORY_FOLLOWER, g_hash_table_size(feed->followers), revision,
+              state.revision);
+    if (!state.followable || state.revision == 0)
         return false;
-    /* What is noted is in the snapshot already; followers of before get it first. */
+    /* Pending changes are in the snapshot already; existing followers must receive them first. */
     if (uv_is_active((uv_handle_t *)&feed->timer)) {
         uv_timer_stop(&feed->timer);
-        on_tell(&feed->timer);
+        on_send(&feed->timer);
     }
     follower_t *follower = g_new0(follower_t, 1);
     follower->connection = connection;
-    follower->known = known;
+    follower->revision = revision;
     follower->view = view;
     g_hash_table_insert(feed->followers, (gpointer)frame_connection_serial(connection), follower);
-    welcome(feed, follower, &state);
-    if (!uv_is_active((const uv_handle_t *)&feed->beat))
-        uv_timer_start(&feed->beat, on_beat, BEAT_MS, BEAT_MS);
+    send_initial(feed, follower, &state);
+    if (!uv_is_active((const uv_handle_t *)&feed->heartbeat))
+        uv_timer_start(&feed->heartbeat, on_heartbeat, HEARTBEAT_MS, HEARTBEAT_MS);
     return true;
 }
 
@@ -206,13 +208,13 @@
     g_hash_table_remove(feed->followers, serial);
 }
 
-void directory_feed_note(directory_feed_t *feed, const key_value_item_t *item) {
+void directory_feed_notify(directory_feed_t *feed, const key_value_item_t *item) {
     if (g_hash_table_size(feed->followers) == 0)
         return;
     if (item != NULL)
         directory_changes_add(feed->changes, item);
-    feed->noted = true;
-    tell_soon(feed);
+    feed->pending = true;
+    send_soon(feed);
 }
 
 unsigned directory_feed_followers(const directory_feed_t *feed) {
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -1,14 +1,14 @@
 /**
  * @file directory_feed.h
- * Passes what this gateway's watch of the key-value service shows on to other gateways, which then
- * need no watch of their own. Each change of the service would otherwise be answered once to each
- * gateway, and changes grow with the fleet as gateways do.
+ * Forwards this gateway's view of the key-value service to other gateways, which then need no watch
+ * of their own. Otherwise the service would send each change to every gateway, and its load would
+ * grow with the square of the fleet.
  *
- * A follower first gets all that is known, as soon as that is no older than what it knows itself;
- * nothing but the revision if it has the same view already. Then each change comes, in order, with
- * the revision up to which nothing is missing; without a change the revision once a second. With
- * each goes how long ago the service confirmed it, so that also those that follow a follower know
- * how old their view may be.
+ * A follower first receives the complete view, once that is at least as recent as its own; if it
+ * has the same view already, only the revision. After that it receives each change in order, with
+ * the revision up to which the view is complete, and without changes the revision once a second.
+ * Each message carries the time since the service last confirmed the view, so that indirect
+ * followers know its age as well.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -20,32 +20,33 @@
 
 typedef struct directory_feed directory_feed_t;
 
-/** What is passed on; all of it as it is now. */
+/** Current state to forward. */
 typedef struct {
     directory_snapshot_t *snapshot;
-    GBytes *group;  /**< The encoded store group; NULL: none is known. */
-    uint64_t known; /**< Everything up to this revision is in there; 0: that can't be said now. */
-    bool watching;  /**< False: it can't be followed; it follows another gateway of its cell. */
+    GBytes *group;       /**< Encoded store group; NULL: unknown. */
+    uint64_t revision;   /**< The view is complete up to this revision; 0: it may be incomplete. */
+    bool followable;     /**< False: it follows another gateway of its cell itself. */
     uint32_t answer_age; /**< As in message_t. */
 } directory_feed_state_t;
 
 typedef void (*directory_feed_read_t)(void *owner, directory_feed_state_t *state);
 
-/** @p read tells what is known, whenever that is asked for. */
+/** @p read returns the current state; it is called whenever that is needed. */
 directory_feed_t *directory_feed_new(uv_loop_t *loop, directory_feed_read_t read, void *owner);
 /**
- * A gateway that knows everything up to @p known, and has the view of digest @p view, wants the
- * rest and what comes; false if it can't be had here now.
+ * Adds a follower that has all changes up to @p revision and a view of digest @p view. Returns
+ * false if this gateway can't be followed now.
  */
-bool directory_feed_add(directory_feed_t *feed, frame_connection_t *connection, uint64_t known,
+bool directory_feed_add(directory_feed_t *feed, frame_connection_t *connection, uint64_t revision,
                         uint64_t view);
-/** The connection with this serial number has ended; nothing happens if it was no follower's. */
+/** Removes the follower whose connection has this serial number, if any. */
 void directory_feed_remove(directory_feed_t *feed, const uint64_t *serial);
 /**
- * An item was written or is gone; told soon, together with others. NULL: one that nobody needs, or
- * the view is complete again, or can't be followed any more: only that is told.
+ * Queues an item that was written or removed; it is sent soon, together with others. NULL sends
+ * only the revision or state: an item that followers don't need has changed, the view is complete
+ * again, or this gateway can't be followed any more.
  */
-void directory_feed_note(directory_feed_t *feed, const key_value_item_t *item);
+void directory_feed_notify(directory_feed_t *feed, const key_value_item_t *item);
 unsigned directory_feed_followers(const directory_feed_t *feed);
 
 #endif
--- a/src/gateway/directory_follow.c
+++ b/src/gateway/directory_follow.c
@@ -7,37 +7,39 @@
 #include "net/frame_connection.h"
 
 enum {
-    /** A connection must be up within this, in ms: a machine without power does not refuse it, and
-     * the kernel would ask again only after a second. */
+    /**
+     * Connection timeout: a machine without power does not refuse the connection, and the kernel
+     * retransmits only after a second.
+     */
     CONNECT_MS = 300,
-    ACCEPT_MS = 500, /**< Then the source must have accepted within this, */
-    VIEW_MS = 8000,  /**< and its view have come, which shares the source's link with others. */
-    REFUSED_LEAST_MS = 300, /**< Pause after a refusal, whatever other sources know. */
+    ACCEPT_MS = 500, /**< Timeout for the source to accept, */
+    VIEW_MS = 8000,  /**< and for its view, which shares the source's link with others. */
+    REFUSED_PAUSE_MIN_MS = 300, /**< Minimum pause after a refusal. */
 };
 
 struct directory_follow {
     uv_loop_t *loop;
-    uv_timer_t timer; /**< Runs until the source's view has come. */
+    uv_timer_t timer; /**< Runs until the source's view has been received. */
     const directory_follow_handler_t *handler;
     void *owner;
     frame_connection_t *connection; /**< NULL: no source. */
     struct sockaddr_in source;
     bool current;
-    uint64_t asked_view; /**< Digest of the view that the source was told this gateway has. */
+    uint64_t requested_view; /**< Digest of this gateway's view as sent in the request. */
     uint64_t heard_at;
-    uint32_t answer_age; /**< As the source told it then. */
+    uint32_t answer_age; /**< As reported by the source at that time. */
     uint64_t refused_pause_ms;
     uint64_t refused_at;
-    uint64_t pause_until;       /**< None is followed before; one has refused. */
-    struct sockaddr_in avoided; /**< The source that proved of no use last, */
-    uint64_t avoided_until;     /**< which is not followed before. */
+    uint64_t pause_until;       /**< No source is followed before, after a refusal. */
+    struct sockaddr_in avoided; /**< The source that failed last, */
+    uint64_t avoided_until;     /**< which is not followed before this time. */
 };
 
 static bool same_address(const struct sockaddr_in *a, const struct sockaddr_in *b) {
     return a->sin_port == b->sin_port && a->sin_addr.s_addr == b->sin_addr.s_addr;
 }
 
-/** Does not follow the present source again before @p ms are over. */
+/** Does not follow the current source again for @p ms. */
 static void avoid_source(directory_follow_t *follow, uint64_t ms) {
     follow->avoided = follow->source;
     follow->avoided_until = uv_now(follow->loop) + ms;
@@ -53,7 +55,7 @@
 void directory_follow_end(directory_follow_t *follow, const char *reason, uint64_t avoid_ms) {
     if (follow->connection == NULL)
         return;
-    log_follows(follow, "no", reason, follow->handler->known(follow->owner));
+    log_follows(follow, "no", reason, follow->handler->revision(follow->owner));
     uv_timer_stop(&follow->timer);
     frame_connection_close(follow->connection);
     follow->connection = NULL;
@@ -62,38 +64,38 @@
         avoid_source(follow, avoid_ms);
 }
 
-static void note_refusal(directory_follow_t *follow) {
+static void record_refusal(directory_follow_t *follow) {
     follow->refused_at = uv_now(follow->loop);
     follow->pause_until = follow->refused_at + follow->refused_pause_ms;
 }
 
-void directory_follow_forgive(directory_follow_t *follow) {
+void directory_follow_reset_backoff(directory_follow_t *follow) {
     follow->avoided_until = 0;
-    follow->pause_until = MIN(follow->pause_until, follow->refused_at + REFUSED_LEAST_MS);
+    follow->pause_until = MIN(follow->pause_until, follow->refused_at + REFUSED_PAUSE_MIN_MS);
 }
 
-static void lose_source(directory_follow_t *follow, const char *reason) {
+static void fail_source(directory_follow_t *follow, const char *reason) {
     directory_follow_end(follow, reason, DIRECTORY_AVOID_MS);
     follow->handler->on_lost(follow->owner);
 }
 
-static void on_time_over(uv_timer_t *timer) {
-    lose_source(timer->data, "late");
+static void on_timeout(uv_timer_t *timer) {
+    fail_source(timer->data, "late");
 }
 
 static void on_open(void *owner, frame_connection_t *connection) {
     directory_follow_t *follow = owner;
-    uv_timer_start(&follow->timer, on_time_over, ACCEPT_MS, 0);
+    uv_timer_start(&follow->timer, on_timeout, ACCEPT_MS, 0);
     message_t request;
     message_init(&request, REQUEST_FOLLOW);
-    request.revision = follow->handler->known(follow->owner);
-    request.view = follow->handler->view(follow->owner);
-    follow->asked_view = request.view;
+    request.revision = follow->handler->revision(follow->owner);
+    request.view = follow->handler->view_digest(follow->owner);
+    follow->requested_view = request.view;
     frame_connection_send(connection, message_encode(&request));
     message_clear(&request);
 }
 
-/** The source's whole view, or with NULL that it is this gateway's own one. */
+/** Handles the source's complete view; NULL: it is the same as this gateway's. */
 static void become_current(directory_follow_t *follow, const directory_snapshot_t *snapshot,
                            const message_t *message) {
     uv_timer_stop(&follow->timer);
@@ -103,8 +105,8 @@
     follow->handler->on_directory(follow->owner, snapshot, message->revision);
 }
 
-/** False if @p message holds no directory. */
-static bool take_directory(directory_follow_t *follow, const message_t *message) {
+/** Returns false if @p message holds no directory. */
+static bool handle_directory(directory_follow_t *follow, const message_t *message) {
     directory_snapshot_t snapshot;
     directory_snapshot_init(&snapshot);
     bool valid =
@@ -115,7 +117,7 @@
     return valid;
 }
 
-static bool take_changes(const directory_follow_t *follow, const message_t *message) {
+static bool handle_changes(const directory_follow_t *follow, const message_t *message) {
     GArray *changes =
         message->directory == NULL ? NULL : directory_changes_decode(message->directory);
     if (changes == NULL)
@@ -125,30 +127,32 @@
     return true;
 }
 
-/** In place of the whole view: false if this gateway's own has changed since it was told. */
-static bool take_same(directory_follow_t *follow, const message_t *message) {
-    if (follow->asked_view == 0 || follow->asked_view != follow->handler->view(follow->owner))
+/** Handles a response without a view: false if this gateway's view has changed since. */
+static bool handle_same_view(directory_follow_t *follow, const message_t *message) {
+    if (follow->requested_view == 0 ||
+        follow->requested_view != follow->handler->view_digest(follow->owner))
         return false;
     become_current(follow, NULL, message);
     return true;
 }
 
-static bool take_message(directory_follow_t *follow, const message_t *message) {
+static bool handle_message(directory_follow_t *follow, const message_t *message) {
     if (message->type == MESSAGE_GROUP) {
         follow->handler->on_group(follow->owner, message);
         return true;
     }
     if (message->type == MESSAGE_DIRECTORY_KNOWN) {
         if (!follow->current)
-            uv_timer_start(&follow->timer, on_time_over, VIEW_MS, 0);
+            uv_timer_start(&follow->timer, on_timeout, VIEW_MS, 0);
         return true;
     }
     follow->heard_at = uv_now(follow->loop);
     follow->answer_age = message->answer_age;
     if (message->type == MESSAGE_DIRECTORY)
-        return take_directory(follow, message);
+        return handle_directory(follow, message);
     if (message->type == MESSAGE_DIRECTORY_CHANGES)
-        return follow->current ? take_changes(follow, message) : take_same(follow, message);
+        return follow->current ? handle_changes(follow, message)
+                               : handle_same_view(follow, message);
     return true;
 }
 
@@ -158,29 +162,29 @@
     message_t message;
     (void)connection;
     bool valid = message_decode(&message, data, length);
-    bool view = message.type == MESSAGE_DIRECTORY || message.type == MESSAGE_DIRECTORY_CHANGES;
-    bool behind = valid && view && message.revision < follow->handler->known(follow->owner);
+    bool has_view = message.type == MESSAGE_DIRECTORY || message.type == MESSAGE_DIRECTORY_CHANGES;
+    bool behind = valid && has_view && message.revision < follow->handler->revision(follow->owner);
     if (behind)
-        lose_source(follow, "behind");
+        fail_source(follow, "behind");
     else if (valid)
-        valid = take_message(follow, &message);
+        valid = handle_message(follow, &message);
     message_clear(&message);
     if (!valid)
-        lose_source(follow, error_name(RUDDERWAY_ERROR_FRAME_INVALID));
+        fail_source(follow, error_name(RUDDERWAY_ERROR_FRAME_INVALID));
 }
 
 static void on_closed(void *owner, frame_connection_t *connection) {
     directory_follow_t *follow = owner;
     (void)connection;
-    /* Gone already: nothing is left to close. */
+    /* The connection is closed already. */
     follow->connection = NULL;
     if (follow->current)
         avoid_source(follow, DIRECTORY_AVOID_MS);
     else
-        note_refusal(follow);
+        record_refusal(follow);
     follow->current = false;
     uv_timer_stop(&follow->timer);
-    log_follows(follow, "no", "closed", follow->handler->known(follow->owner));
+    log_follows(follow, "no", "closed", follow->handler->revision(follow->owner));
     follow->handler->on_lost(follow->owner);
 }
 
@@ -208,7 +212,7 @@
     follow->source = *source;
     follow->connection = frame_connection_open(follow->loop, source, &source_handler, follow);
     if (follow->connection != NULL)
-        uv_timer_start(&follow->timer, on_time_over, CONNECT_MS, 0);
+        uv_timer_start(&follow->timer, on_timeout, CONNECT_MS, 0);
 }
 
 bool directory_follow_active(const directory_follow_t *follow) {
--- a/src/gateway/directory_watch.c
+++ b/src/gateway/directory_watch.c
@@ -1,14 +1,15 @@
 /*
- * Design. One watch over the whole key-value service brings configuration, back ends and the
- * store group. At a start it is held, and one over the group's key alone takes its place until the
- * group is known (core/configuration/listing_turn.h). A version of the configuration never goes
- * back. Back ends that a listing lacks are gone; while the service does not answer, what was known
- * last stays in use.
+ * One watch over the whole key-value service provides configuration, back ends and the store group.
+ * At startup it is held, and a watch of the group's key alone runs instead until the group is known
+ * (core/configuration/listing_turn.h). The version of the configuration never decreases. Back ends
+ * that a listing lacks are removed; while the service does not respond, the last known state stays
+ * in use.
  *
- * The gateways on duty (directory_duty.c) offer the storage nodes what they have seen. A gateway
- * that starts while the service is away, or holds its listing (listing_turn.h), serves from that
- * until the service, or a gateway that watches it, confirms it; until then it says 503, not 404, to
- * a call without a route, since a later configuration may have one.
+ * Gateways with the directory role (directory_duty.c) offer their view to the storage nodes. A
+ * gateway that starts while the service is unavailable, or while its listing is held, serves from
+ * such a stored view until the service, or a gateway that watches it, confirms it. Until then it
+ * answers a call without a route with 503 instead of 404, because a later configuration may have
+ * one.
  */
 #include "gateway/gateway.h"
 
@@ -20,22 +21,22 @@
 #include <string.h>
 
 enum {
-    DIRECTORY_LOOK_MS = 20,  /**< Between two looks at a start whether it is to be asked for. */
-    OFFER_SETTLED_MS = 2000, /**< A duty has lasted so long: others were heard since. */
-    OFFER_LEAST_MS = 1000,   /**< Between two offers to the storage nodes, */
-    OFFER_AGAIN_MS = 3000,   /**< and at most: whoever was asked before may be gone. */
-    GROUP_WAIT_MS = 25000,   /**< How long one watch of the group's key waits for it. */
+    DIRECTORY_CHECK_INTERVAL_MS = 20, /**< At startup, until the directory is known. */
+    OFFER_SETTLE_MS = 2000,           /**< In the role, until the others have reported. */
+    OFFER_INTERVAL_MIN_MS = 1000,     /**< Between two offers to storage nodes, */
+    OFFER_INTERVAL_MAX_MS = 3000,     /**< and at most: an earlier recipient may have failed. */
+    GROUP_WAIT_MS = 25000,            /**< Wait time of one watch of the group's key. */
 };
 
-static void take_configuration(gateway_t *gateway, const key_value_item_t *item) {
+static void apply_configuration(gateway_t *gateway, const key_value_item_t *item) {
     if (item->value == NULL)
         return;
     gsize length;
     const char *data = g_bytes_get_data(item->value, &length);
     directory_configuration_t *configuration = directory_parse_configuration(data, length);
-    uint64_t known = gateway->configuration == NULL ? 0 : gateway->configuration->version;
-    if (configuration == NULL || configuration->version <= known) {
-        if (configuration == NULL || configuration->version < known)
+    uint64_t current_version = gateway->configuration == NULL ? 0 : gateway->configuration->version;
+    if (configuration == NULL || configuration->version <= current_version) {
+        if (configuration == NULL || configuration->version < current_version)
             event_log(GATEWAY_CONFIGURATION_REJECTED, item->revision,
                       configuration == NULL ? 0 : configuration->version);
         directory_configuration_unref(configuration);
@@ -48,26 +49,26 @@
     http_listener_set_limits(gateway->calls, &configuration->limits);
 }
 
-static backend_record_t *read_backend(const char *instance, GBytes *value) {
+static backend_record_t *decode_backend(const char *instance, GBytes *value) {
     gsize length;
     const void *data = g_bytes_get_data(value, &length);
     backend_record_t *backend = backend_record_decode(instance, data, length);
     backend_entry_fault_t fault;
-    /* Storage nodes may still keep what an earlier version told them. */
+    /* Storage nodes may have stored what an earlier version sent them. */
     return backend != NULL ? backend : directory_read_backend(instance, data, length, &fault);
 }
 
 /**
- * Each back end is logged by the gateways that watch the service themselves, once they have the
- * whole view; the others log how many changes came (E840). By each of 865 gateways, 10,000 back
- * ends at a start would be 8.6 million lines.
+ * Single back ends are logged only by gateways that watch the service themselves, once their view
+ * is complete; the others log the number of changes (E840). This keeps the log volume of a restart
+ * from growing with gateways times back ends.
  */
 static bool logs_backends(const gateway_t *gateway) {
     return gateway->backends_listed && !key_value_watch_rests(gateway->watch);
 }
 
-/** True if a back end whose entry is gone is still used: the service was away; see lapse.h. */
-static bool keeps_lapsed(gateway_t *gateway, const char *instance) {
+/** True if a back end without an entry is still used: the service was unavailable; see lapse.h. */
+static bool keeps_expired(gateway_t *gateway, const char *instance) {
     uint64_t now = uv_now(gateway->loop);
     lapse_signs_t signs = {
         .failed_at = gateway->watch == NULL ? 0 : key_value_watch_failed_at(gateway->watch),
@@ -81,9 +82,9 @@
     return true;
 }
 
-static void take_backend(gateway_t *gateway, const char *instance, const key_value_item_t *item) {
-    backend_record_t *backend = item->value == NULL ? NULL : read_backend(instance, item->value);
-    if (backend == NULL && item->value == NULL && keeps_lapsed(gateway, instance))
+static void apply_backend(gateway_t *gateway, const char *instance, const key_value_item_t *item) {
+    backend_record_t *backend = item->value == NULL ? NULL : decode_backend(instance, item->value);
+    if (backend == NULL && item->value == NULL && keeps_expired(gateway, instance))
         return;
     if (backend == NULL) {
         if (logs_backends(gateway))
@@ -98,12 +99,11 @@
     backends_update(&gateway->backends, backend);
 }
 
-/** True if a key holds the store group. */
 static bool is_group(key_kind_t kind, const char *name) {
     return kind == KEY_OWN && strcmp(name, "group") == 0;
 }
 
-static void take_group(gateway_t *gateway, const char *name, const key_value_item_t *item) {
+static void apply_group(gateway_t *gateway, const char *name, const key_value_item_t *item) {
     if (!is_group(KEY_OWN, name) || item->value == NULL)
         return;
     if (gateway->group != NULL)
@@ -118,17 +118,17 @@
     store_group_free(group);
 }
 
-static void take_item(gateway_t *gateway, const key_value_item_t *item) {
+static void apply_item(gateway_t *gateway, const key_value_item_t *item) {
     const char *name;
     switch (key_value_kind(item->key, &name)) {
     case KEY_CONFIGURATION:
-        take_configuration(gateway, item);
+        apply_configuration(gateway, item);
         break;
     case KEY_BACKEND:
-        take_backend(gateway, name, item);
+        apply_backend(gateway, name, item);
         break;
     case KEY_OWN:
-        take_group(gateway, name, item);
+        apply_group(gateway, name, item);
         break;
     case KEY_RETIRE:
     case KEY_OTHER:
@@ -136,18 +136,17 @@
     }
 }
 
-/** Takes over an item that holds no secret, if it is news; followers hear of the revision anyway.
- */
-static void take_plain_item(gateway_t *gateway, const key_value_item_t *item) {
+/** Applies an item without secrets if it is new; followers get the revision in any case. */
+static void apply_redacted_item(gateway_t *gateway, const key_value_item_t *item) {
     const char *name;
     key_kind_t kind = key_value_kind(item->key, &name);
     bool directory = kind == KEY_CONFIGURATION || kind == KEY_BACKEND;
-    bool news =
+    bool changed =
         directory ? directory_snapshot_note(&gateway->snapshot, item) : is_group(kind, name);
-    directory_feed_note(gateway->feed, news ? item : NULL);
-    if (!news)
+    directory_feed_notify(gateway->feed, changed ? item : NULL);
+    if (!changed)
         return;
-    take_item(gateway, item);
+    apply_item(gateway, item);
     if (gateway->backends_listed)
         gateway_check_ready(gateway);
 }
@@ -155,23 +154,23 @@
 void gateway_take_item(gateway_t *gateway, const key_value_item_t *item) {
     const char *name;
     if (item->value == NULL || key_value_kind(item->key, &name) != KEY_CONFIGURATION) {
-        take_plain_item(gateway, item);
+        apply_redacted_item(gateway, item);
         return;
     }
     key_value_item_t redacted = *item;
     redacted.value = directory_redact_configuration(item->value);
-    take_plain_item(gateway, &redacted);
+    apply_redacted_item(gateway, &redacted);
     g_bytes_unref(redacted.value);
 }
 
-/** An entry that names no back end to use, whoever wrote it: counted, and logged like back ends. */
+/** Counts and logs an entry that names no usable back end. */
 static void reject_entry(gateway_t *gateway, const char *instance, backend_entry_fault_t fault) {
     gateway->counters.entries_rejected++;
     if (logs_backends(gateway))
         event_log(BACKEND_ENTRY_REJECTED, instance, backend_entry_fault_name(fault));
 }
 
-/** A back end as it stands in the service, in its short form; NULL: that is none. */
+/** Converts an entry of the service to its short form; NULL: it names no usable back end. */
 static GBytes *shorten_backend(gateway_t *gateway, const char *instance, GBytes *value) {
     gsize length;
     const char *data = g_bytes_get_data(value, &length);
@@ -189,7 +188,7 @@
 static void on_item(void *owner, const key_value_item_t *item) {
     gateway_t *gateway = owner;
     const char *instance;
-    load_sharing_look_soon(gateway->load_sharing);
+    load_sharing_check_soon(gateway->load_sharing);
     if (item->value == NULL || key_value_kind(item->key, &instance) != KEY_BACKEND) {
         gateway_take_item(gateway, item);
         return;
@@ -199,20 +198,20 @@
     gateway_take_item(gateway, &backend);
     if (backend.value != NULL)
         g_bytes_unref(backend.value);
-    else /* It is there, and names none to use: not one that has lapsed. */
+    else /* The entry exists but names no usable back end: it has not expired. */
         backends_remove(&gateway->backends, instance);
 }
 
 void gateway_retain_items(gateway_t *gateway, GHashTable *keys) {
     GPtrArray *missing = directory_snapshot_missing(&gateway->snapshot, keys);
     for (guint i = 0; i < missing->len; i++) {
-        key_value_item_t gone = {.key = g_ptr_array_index(missing, i)};
-        gateway_take_item(gateway, &gone);
+        key_value_item_t removed = {.key = g_ptr_array_index(missing, i)};
+        gateway_take_item(gateway, &removed);
     }
     g_ptr_array_free(missing, TRUE);
 }
 
-/** True if neither the service nor a storage node has shown a group. */
+/** True if neither the service nor a storage node has provided a group. */
 static bool group_unknown(const gateway_t *gateway) {
     return store_client_generation(gateway->stores) == 0;
 }
@@ -222,7 +221,7 @@
     gateway->directory_confirmed = true;
     event_log(GATEWAY_DIRECTORY_LISTED, gateway->snapshot.revision,
               backends_count(&gateway->backends));
-    directory_feed_note(gateway->feed, NULL);
+    directory_feed_notify(gateway->feed, NULL);
     gateway_check_ready(gateway);
 }
 
@@ -249,7 +248,7 @@
 
 static const key_value_watch_handler_t handler = {on_item, on_listed, on_reachable};
 
-/* The store group alone. */
+/* Watch of the store group alone. */
 
 static void on_group_item(void *owner, const key_value_item_t *item) {
     gateway_t *gateway = owner;
@@ -261,7 +260,7 @@
     (void)keys;
 }
 
-/** While the whole watch is held this one finds out whether the service answers. */
+/** While the main watch is held, this one detects whether the service responds. */
 static void on_group_reachable(void *owner, bool reachable) {
     const gateway_t *gateway = owner;
     if (key_value_watch_held_since(gateway->watch) > 0)
@@ -271,7 +270,7 @@
 static const key_value_watch_handler_t group_handler = {on_group_item, on_group_listed,
                                                         on_group_reachable};
 
-/** Watches for the group at a start; ends once it is known, whoever told it. */
+/** Watches for the group at startup; ends once it is known from any side. */
 static void open_group_watch(gateway_t *gateway) {
     const process_settings_t *settings = gateway->settings;
     char *key = key_value_own_key("group");
@@ -281,18 +280,18 @@
     g_free(key);
 }
 
-static void look_for_group(gateway_t *gateway) {
+static void end_group_watch(gateway_t *gateway) {
     if (group_unknown(gateway) || gateway->group_watch == NULL)
         return;
     key_value_watch_rest(gateway->group_watch);
 }
 
-/* The directory that the storage nodes keep. */
+/* Directory stored by the storage nodes. */
 
-/** Takes an item of a directory that a storage node kept. */
-static void take_kept_item(void *owner, const char *key, GBytes *value) {
+/** Applies an item of a stored directory. */
+static void apply_stored_item(void *owner, const char *key, GBytes *value) {
     gateway_t *gateway = owner;
-    /* What the service itself has shown is newer. */
+    /* What the service itself has sent is newer. */
     if (g_hash_table_contains(gateway->snapshot.items, key))
         return;
     key_value_item_t item = {.key = (char *)key, .value = value};
@@ -303,7 +302,7 @@
     gateway_t *gateway = owner;
     uint64_t revision = 0;
     if (gateway->backends_listed ||
-        !directory_snapshot_read(bytes, &revision, take_kept_item, gateway))
+        !directory_snapshot_read(bytes, &revision, apply_stored_item, gateway))
         return;
     gateway->snapshot.revision = MAX(gateway->snapshot.revision, revision);
     gateway->kept_at = MAX(1, uv_now(gateway->loop));
@@ -316,7 +315,7 @@
 
 GBytes *gateway_read_directory(void *owner, uint64_t *revision) {
     gateway_t *gateway = owner;
-    /* While a listing goes on, items that it has not come to are older than its revision. */
+    /* During a listing, items that it has not reached are older than its revision. */
     if (!gateway->directory_confirmed || !key_value_watch_listed(gateway->watch))
         return NULL;
     *revision = gateway->snapshot.revision;
@@ -326,13 +325,13 @@
 static void offer_directory(gateway_t *gateway) {
     uint64_t now = uv_now(gateway->loop);
     unsigned links = store_client_links_opened(gateway->stores);
-    bool news =
+    bool changed =
         gateway->snapshot.revision != gateway->offered_revision || links != gateway->offered_links;
-    bool again = now >= gateway->offered_at + OFFER_AGAIN_MS;
-    bool duty = gateway->offers_directory_since > 0 &&
-                now >= gateway->offers_directory_since + OFFER_SETTLED_MS;
-    if (!duty || !gateway->directory_confirmed || !(news || again) ||
-        now < gateway->offered_at + OFFER_LEAST_MS)
+    bool refresh_due = now >= gateway->offered_at + OFFER_INTERVAL_MAX_MS;
+    bool in_role = gateway->offers_directory_since > 0 &&
+                   now >= gateway->offers_directory_since + OFFER_SETTLE_MS;
+    if (!in_role || !gateway->directory_confirmed || !(changed || refresh_due) ||
+        now < gateway->offered_at + OFFER_INTERVAL_MIN_MS)
         return;
     store_client_offer_directory(gateway->stores, gateway->snapshot.revision);
     gateway->offered_revision = gateway->snapshot.revision;
@@ -340,8 +339,8 @@
     gateway->offered_at = now;
 }
 
-/** Goes on with a listing that is held, once it is this gateway's turn. */
-static void look_at_listing(gateway_t *gateway) {
+/** Continues a held listing once it is due. */
+static void continue_listing(gateway_t *gateway) {
     listing_turn_t turn = {
         .held_since = key_value_watch_held_since(gateway->watch),
         .told_at = gateway->gateways_told_at,
@@ -358,21 +357,21 @@
     key_value_watch_go_on(gateway->watch);
 }
 
-static void on_directory_look(uv_timer_t *timer) {
+static void on_directory_check(uv_timer_t *timer) {
     gateway_t *gateway = timer->data;
     uint64_t now = uv_now(gateway->loop);
     if (!gateway->backends_listed && directory_ask_due(gateway->directory_asked_at, now) &&
         store_client_ask_directory(gateway->stores))
         gateway->directory_asked_at = now;
-    unsigned lapsed = backends_expire_lapsed(&gateway->backends);
-    if (lapsed > 0)
-        event_log(BACKENDS_GONE, lapsed, backends_count(&gateway->backends));
+    unsigned expired = backends_expire_lapsed(&gateway->backends);
+    if (expired > 0)
+        event_log(BACKENDS_GONE, expired, backends_count(&gateway->backends));
     offer_directory(gateway);
-    look_for_group(gateway);
-    look_at_listing(gateway);
+    end_group_watch(gateway);
+    continue_listing(gateway);
     bool settled = gateway->backends_listed && key_value_watch_held_since(gateway->watch) == 0 &&
                    !group_unknown(gateway);
-    uv_timer_set_repeat(timer, settled ? OFFER_LEAST_MS : DIRECTORY_LOOK_MS);
+    uv_timer_set_repeat(timer, settled ? OFFER_INTERVAL_MIN_MS : DIRECTORY_CHECK_INTERVAL_MS);
 }
 
 void gateway_watch_directory(gateway_t *gateway) {
@@ -380,8 +379,8 @@
     gateway->on_duty = true;
     uv_timer_init(gateway->loop, &gateway->directory_timer);
     gateway->directory_timer.data = gateway;
-    uv_timer_start(&gateway->directory_timer, on_directory_look, DIRECTORY_LOOK_MS,
-                   DIRECTORY_LOOK_MS);
+    uv_timer_start(&gateway->directory_timer, on_directory_check, DIRECTORY_CHECK_INTERVAL_MS,
+                   DIRECTORY_CHECK_INTERVAL_MS);
     const process_settings_t *settings = gateway->settings;
     gateway->watch = key_value_watch_open_held(
         gateway->loop, &settings->key_value, settings->key_value_text, key_value_prefix(KEY_OTHER),
--- a/src/gateway/isolation.c
+++ b/src/gateway/isolation.c
@@ -1,15 +1,16 @@
 /*
- * What a gateway does when its zone is cut off, besides refusing calls that need storage nodes: it
- * says at once that it is not ready, and tells its neighbours. Callers are led elsewhere only on
- * new connections, so once that must be the case, kept ones are ended between two calls: their next
- * call is served elsewhere without a refusal.
+ * Handles the isolation of this gateway's zone, besides the refusal of calls that need storage
+ * nodes. The gateway at once reports that it is not ready and notifies its peers. Only new
+ * connections of callers are redirected to other zones, so once redirection must be in effect,
+ * kept-alive connections are closed between two calls: the next call is served elsewhere without
+ * being refused.
  */
 #include "gateway/gateway.h"
 
-/** Between two looks for connections that have become idle. */
-enum { IDLE_AGAIN_MS = 100 };
+/** Between two checks for connections that have become idle. */
+enum { IDLE_CHECK_INTERVAL_MS = 100 };
 
-static void on_led_elsewhere(uv_timer_t *timer) {
+static void close_idle_connections(uv_timer_t *timer) {
     const gateway_t *gateway = timer->data;
     http_listener_close_idle(gateway->calls);
 }
@@ -18,17 +19,17 @@
     uv_timer_init(gateway->loop, &gateway->led_elsewhere);
     gateway->led_elsewhere.data = gateway;
     store_client_watch_zone(gateway->stores);
-    load_sharing_heed_stores(gateway->load_sharing);
+    load_sharing_watch_stores(gateway->load_sharing);
 }
 
-void gateway_note_zone_cut(void *owner, bool cut) {
+void gateway_note_zone_cut(void *owner, bool isolated) {
     gateway_t *gateway = owner;
-    gateway->zone_cut_since = cut ? uv_now(gateway->loop) : 0;
+    gateway->zone_cut_since = isolated ? uv_now(gateway->loop) : 0;
     gateway_check_ready(gateway);
-    load_sharing_look_soon(gateway->load_sharing);
-    if (cut)
-        uv_timer_start(&gateway->led_elsewhere, on_led_elsewhere, GATEWAY_LED_ELSEWHERE_MS,
-                       IDLE_AGAIN_MS);
+    load_sharing_check_soon(gateway->load_sharing);
+    if (isolated)
+        uv_timer_start(&gateway->led_elsewhere, close_idle_connections, GATEWAY_LED_ELSEWHERE_MS,
+                       IDLE_CHECK_INTERVAL_MS);
     else
         uv_timer_stop(&gateway->led_elsewhere);
 }
--- a/src/gateway/load_report.c
+++ b/src/gateway/load_report.c
@@ -5,10 +5,10 @@
 enum {
     PERIOD_MS = 60,
     PERIOD_EACH_MS = 3, /**< Added for each gateway. */
-    CALM_PERIODS = 4,   /**< Periods in one while no back end is half full. */
-    SAMPLES_BITS = 8,   /**< Of what stands in place of `out_ms`; the age has the others. */
-    SAMPLES_MOST = 255,
-    AGE_MOST = 0xffffff,
+    CALM_FACTOR = 4,    /**< Multiplies the period while no back end is half full. */
+    SAMPLES_BITS = 8, /**< Low bits of `out_ms` in the entry of a speed; the others hold the age. */
+    SAMPLES_MAX = 255,
+    AGE_MAX_MS = 0xffffff,
 };
 
 static void report_codec(codec_t *codec, watch_report_t *watch, GArray *entries) {
@@ -28,16 +28,16 @@
     }
 }
 
-load_entry_t load_entry_of_pace(uint64_t life, const backend_pace_t *pace, uint64_t now) {
+load_entry_t load_entry_of_pace(uint64_t incarnation, const backend_pace_t *pace, uint64_t now) {
     uint64_t age = now > pace->at ? now - pace->at : 0;
-    uint32_t samples = MIN(SAMPLES_MOST, pace->samples);
-    return (load_entry_t){life, pace->work_us,
-                          (uint32_t)MIN(AGE_MOST, age) << SAMPLES_BITS | samples};
+    uint32_t samples = MIN(SAMPLES_MAX, pace->samples);
+    return (load_entry_t){incarnation, pace->work_us,
+                          (uint32_t)MIN(AGE_MAX_MS, age) << SAMPLES_BITS | samples};
 }
 
 backend_pace_t load_entry_pace(const load_entry_t *entry, uint64_t now) {
     uint64_t age = entry->out_ms >> SAMPLES_BITS;
-    return (backend_pace_t){entry->under_way, entry->out_ms & SAMPLES_MOST,
+    return (backend_pace_t){entry->under_way, entry->out_ms & SAMPLES_MAX,
                             now > age ? now - age : 0};
 }
 
@@ -58,5 +58,5 @@
 
 uint64_t load_report_period_ms(unsigned gateways, bool calm) {
     uint64_t period = PERIOD_MS + PERIOD_EACH_MS * (uint64_t)gateways;
-    return calm ? period * CALM_PERIODS : period;
+    return calm ? period * CALM_FACTOR : period;
 }
--- a/src/gateway/load_report.h
+++ b/src/gateway/load_report.h
@@ -1,6 +1,6 @@
 /**
  * @file load_report.h
- * What one gateway tells another in one datagram, and how often: see load_sharing.h.
+ * Contents and interval of the datagrams that gateways send each other; see load_sharing.h.
  *
  * Thread safety: the functions are pure and may be called from any thread.
  */
@@ -12,28 +12,32 @@
 
 #include <glib.h>
 
-/** Back ends that one datagram tells of at most. */
+/** Maximum number of back ends in one datagram. */
 enum { LOAD_ENTRIES_MAXIMUM = 4096 };
 
 /**
- * One back end at which the sender has calls under way, or that it leaves out; or a pace that it
- * measured (load_entry_of_pace), under an id that is no back end's: who knows none skips it.
+ * A back end at which the sender has calls in progress, or that it has ejected; or a speed that it
+ * measured (load_entry_of_pace), under an id that is no back end's, so that receivers that don't
+ * know the id skip the entry.
  */
 typedef struct {
     uint64_t backend; /**< backend_t.id_hash. */
     uint32_t under_way;
-    uint32_t out_ms; /**< The sender leaves the back end out for so long from now. */
+    uint32_t out_ms; /**< Remaining time for which the sender ejects the back end. */
 } load_entry_t;
 
-/** What was measured at the life of a back end that has the id @p life; see backend_paces.h. */
-load_entry_t load_entry_of_pace(uint64_t life, const backend_pace_t *pace, uint64_t now);
-/** The pace of such an entry. */
+/**
+ * The speed measured at the incarnation of a back end with the id @p incarnation; see
+ * backend_paces.h.
+ */
+load_entry_t load_entry_of_pace(uint64_t incarnation, const backend_pace_t *pace, uint64_t now);
+/** Reads the speed from such an entry. */
 backend_pace_t load_entry_pace(const load_entry_t *entry, uint64_t now);
-/** @p entries of load_entry_t; of @p watch what is told of it. */
+/** Encodes the watch report @p watch and @p entries, of load_entry_t. */
 GBytes *load_report_encode(const watch_report_t *watch, GArray *entries);
-/** Sets what is told; false if @p data is no report. */
+/** Returns false if @p data is no report. */
 bool load_report_decode(watch_report_t *watch, GArray *entries, const void *data, size_t length);
-/** Time between two looks whether @p gateways others are to be told something. */
+/** Interval in ms between checks whether a report to @p gateways others is due. */
 uint64_t load_report_period_ms(unsigned gateways, bool calm);
 
 #endif
--- a/src/gateway/load_sharing.c
+++ b/src/gateway/load_sharing.c
@@ -1,13 +1,13 @@
 /*
- * Design. A datagram holds the sender's calls under way, one entry for each back end that has
- * any or that it leaves out. It is sent at once when a back end was found down, else when something
- * has changed, at most once a period, and again from time to time while there is anything to tell.
- * The period grows with the number of gateways, so that what one gateway sends and receives stays
- * level, and while no back end is half full, when the choice hardly depends on it. Without any
- * calls one is still sent now and then, since the others' watches depend on it (watch_duty.h).
+ * A report has one entry for each back end at which the sender has calls in progress or that it has
+ * ejected. It is sent at once when a back end is found down; otherwise when something has changed,
+ * at most once a period, and again at a longer interval. The period grows with the number of
+ * gateways, so that the traffic of one gateway stays constant; it is longer while no back end is
+ * half full, when loads hardly affect the choice. Reports continue without any calls, because the
+ * watches of the others depend on them (watch_duty.h).
  *
- * Datagrams come far more often than calls in a zone of many gateways, so what they told is added
- * up only when a choice needs it.
+ * In a zone of many gateways reports arrive far more often than calls, so the loads are summed up
+ * only when a choice needs them.
  */
 #include "gateway/load_sharing.h"
 
@@ -20,15 +20,15 @@
 #include <string.h>
 
 enum {
-    REFRESH_MS = 400,       /**< Told again after this although nothing has changed. */
-    IDLE_REFRESH_MS = 1000, /**< The same while there is no call to tell of. */
-    URGENT_PAUSE_MS = 20,   /**< Least time between two urgent datagrams. */
-    RELAY_NEWS_MS = 1500,   /**< A gateway may pass frames on if it was heard within this. */
-    FORGET_MS = 1000,       /**< What a silent gateway said last counts for so long. */
-    LIFE_KNOWN_MS = 1000,   /**< By then all gateways know a back end's new life. */
-    SOURCE_PERIODS = 2,     /**< One datagram may be lost before a source is taken for gone. */
-    SUM_AGAIN_MS = 100,     /**< Sums are made anew after this: what was told is forgotten. */
-    NEWS_LOOK_MS = 20,      /**< After another gateway told of a change; it mostly comes by then. */
+    REFRESH_MS = 400,              /**< Interval of reports without a change, */
+    IDLE_REFRESH_MS = 1000,        /**< and the same while there are no calls to report. */
+    URGENT_INTERVAL_MIN_MS = 20,   /**< Between two urgent reports. */
+    RELAY_REPORT_EXPIRY_MS = 1500, /**< A relay must have reported within this. */
+    REPORT_EXPIRY_MS = 1000,       /**< The loads of an older report are ignored. */
+    INCARNATION_SETTLE_MS = 1000,  /**< By then all gateways know a back end's new incarnation. */
+    SOURCE_PERIODS = 2,         /**< One report may be lost before a source is considered dead. */
+    SUM_INTERVAL_MS = 100,      /**< Sums are recomputed after this, because reports expire. */
+    CHANGE_CHECK_DELAY_MS = 20, /**< A change that a peer reported is mostly here by then. */
 };
 
 typedef struct {
@@ -47,13 +47,13 @@
     const load_sharing_handler_t *handler;
     void *owner;
     GPtrArray *peers;        /**< Of gateway_peer_t. */
-    zone_loads_t zone_loads; /**< Told between zones. */
-    bool heeds_stores;       /**< Looks soon after a peer has lost the storage nodes. */
+    zone_loads_t zone_loads; /**< Exchanged between zones. */
+    bool watches_stores;     /**< Checks soon after a peer has lost the storage nodes. */
     bool below;              /**< The peers follow gateways of another cell. */
-    bool sums_stale;         /**< A datagram came since the loads were added up. */
-    uint64_t changed;        /**< The latest change that any of them has told of. */
+    bool sums_stale;         /**< A report was received since the loads were summed up. */
+    uint64_t changed;        /**< The latest change that any peer reported. */
     uint64_t summed_at;
-    uint64_t look_at; /**< When the timer fires; UINT64_MAX: it does not run. */
+    uint64_t check_at; /**< When the timer fires; UINT64_MAX: it is not running. */
     watch_report_t sent_report;
     uint64_t sent_changes;
     uint64_t sent_at;
@@ -85,7 +85,7 @@
     return NULL;
 }
 
-/** Logs that a back end is left out from now on because others say so. */
+/** Logs that a back end is ejected because of the reports of others. */
 static void log_ejection(backend_t *backend, uint64_t now) {
     bool told_out = ejection_told_out(&backend->ejection, now);
     if (told_out && !backend->told_out)
@@ -94,7 +94,7 @@
     backend->told_out = told_out;
 }
 
-static void forget_told(GHashTable *told_of) {
+static void reset_reported(GHashTable *told_of) {
     GHashTableIter iterator;
     gpointer key;
     g_hash_table_iter_init(&iterator, told_of);
@@ -105,7 +105,7 @@
     }
 }
 
-static void add_told(load_sharing_t *sharing, const gateway_peer_t *peer, uint64_t now) {
+static void add_reported(load_sharing_t *sharing, const gateway_peer_t *peer, uint64_t now) {
     for (guint i = 0; i < peer->entries->len; i++) {
         const load_entry_t *entry = &g_array_index(peer->entries, load_entry_t, i);
         backend_t *backend = backends_find_hash(sharing->backends, entry->backend);
@@ -114,15 +114,15 @@
         if (backend->life_at > peer->heard_at)
             continue;
         backend->elsewhere += entry->under_way;
-        /* Before that they may mean the life before. */
-        if (backend->life_at == 0 || peer->heard_at >= backend->life_at + LIFE_KNOWN_MS)
+        /* Before that, the report may be about the previous incarnation. */
+        if (backend->life_at == 0 || peer->heard_at >= backend->life_at + INCARNATION_SETTLE_MS)
             ejection_note_told(&backend->ejection, peer->heard_at + entry->out_ms, now);
         g_hash_table_add(sharing->backends->told_of, backend);
     }
 }
 
-/** Logs what has changed; those of which nobody tells anything any more are looked at no longer. */
-static void settle_told(GHashTable *told_of, uint64_t now) {
+/** Logs changes, and stops tracking back ends that no report mentions any more. */
+static void update_reported(GHashTable *told_of, uint64_t now) {
     GHashTableIter iterator;
     gpointer key;
     g_hash_table_iter_init(&iterator, told_of);
@@ -134,39 +134,39 @@
     }
 }
 
-/** Sets what the other gateways have under way at each back end, and which they leave out. */
+/** Sets the calls that other gateways have in progress at each back end, and which they eject. */
 static void sum_peers(load_sharing_t *sharing) {
     uint64_t now = uv_now(sharing->loop);
     sharing->sums_stale = false;
     sharing->summed_at = now;
-    forget_told(sharing->backends->told_of);
+    reset_reported(sharing->backends->told_of);
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
-        if (now <= peer->heard_at + FORGET_MS)
-            add_told(sharing, peer, now);
+        if (now <= peer->heard_at + REPORT_EXPIRY_MS)
+            add_reported(sharing, peer, now);
     }
-    zone_loads_add(&sharing->zone_loads, sharing->backends, now);
-    settle_told(sharing->backends->told_of, now);
+    zone_loads_add_remote(&sharing->zone_loads, sharing->backends, now);
+    update_reported(sharing->backends->told_of, now);
 }
 
 static void on_timer(uv_timer_t *timer);
 
-/** Looks within @p ms, if it was not to do so anyway. */
-static void look_within(load_sharing_t *sharing, uint64_t ms) {
+/** Schedules a check within @p ms, unless one is due earlier. */
+static void check_within(load_sharing_t *sharing, uint64_t ms) {
     uint64_t at = uv_now(sharing->loop) + ms;
-    if (at >= sharing->look_at)
+    if (at >= sharing->check_at)
         return;
-    sharing->look_at = at;
+    sharing->check_at = at;
     uv_timer_start(&sharing->timer, on_timer, ms, 0);
 }
 
-/** Takes the paces out of what a gateway told; its loads stay. */
-static void take_paces(const load_sharing_t *sharing, gateway_peer_t *peer) {
+/** Records the speeds in a peer's report and removes them from its entries; its loads stay. */
+static void take_speeds(const load_sharing_t *sharing, gateway_peer_t *peer) {
     const struct sockaddr_in *address = &peer->address;
-    uint64_t teller = (uint64_t)address->sin_addr.s_addr << 16 | address->sin_port;
+    uint64_t reporter = (uint64_t)address->sin_addr.s_addr << 16 | address->sin_port;
     for (guint i = peer->entries->len; i > 0; i--) {
         const load_entry_t *entry = &g_array_index(peer->entries, load_entry_t, i - 1);
-        if (backend_paces_note_told(sharing->backends, entry, teller))
+        if (backend_paces_note_told(sharing->backends, entry, reporter))
             g_array_remove_index_fast(peer->entries, i - 1);
     }
 }
@@ -180,8 +180,8 @@
     gateway_peer_t *peer = find_peer(sharing, (const struct sockaddr_in *)from);
     if (peer == NULL) {
         sharing->sums_stale |=
-            zone_loads_take(&sharing->zone_loads, (const struct sockaddr_in *)from, buffer->base,
-                            (size_t)count, uv_now(sharing->loop));
+            zone_loads_receive(&sharing->zone_loads, (const struct sockaddr_in *)from, buffer->base,
+                               (size_t)count, uv_now(sharing->loop));
         return;
     }
     watch_report_t watch = {
@@ -191,21 +191,21 @@
         peer->watch = watch;
     else
         g_array_set_size(peer->entries, 0);
-    take_paces(sharing, peer);
+    take_speeds(sharing, peer);
     peer->heard_at = uv_now(sharing->loop);
     sharing->sums_stale = true;
-    if (sharing->heeds_stores && had_stores && !peer->watch.has_stores)
-        look_within(sharing, NEWS_LOOK_MS);
+    if (sharing->watches_stores && had_stores && !peer->watch.has_stores)
+        check_within(sharing, CHANGE_CHECK_DELAY_MS);
     if (watch.changed <= sharing->changed)
         return;
-    /* A change must not wait for the end of a period, which is over a second in a large cell. */
+    /* A change must not wait for the end of a period, which exceeds a second in a large cell. */
     sharing->changed = watch.changed;
-    look_within(sharing, NEWS_LOOK_MS);
+    check_within(sharing, CHANGE_CHECK_DELAY_MS);
 }
 
 void load_sharing_refresh(load_sharing_t *sharing) {
-    bool aged = uv_now(sharing->loop) >= sharing->summed_at + SUM_AGAIN_MS;
-    if (sharing->sums_stale || aged)
+    bool expired = uv_now(sharing->loop) >= sharing->summed_at + SUM_INTERVAL_MS;
+    if (sharing->sums_stale || expired)
         sum_peers(sharing);
 }
 
@@ -235,10 +235,10 @@
     return entries;
 }
 
-static void tell_peers(load_sharing_t *sharing) {
+static void send_reports(load_sharing_t *sharing) {
     GArray *entries = own_entries(sharing);
     watch_report_t watch = {0};
-    sharing->handler->tell(sharing->owner, &watch);
+    sharing->handler->fill_report(sharing->owner, &watch);
     sharing->sent_report = watch;
     sharing->sent_any = entries->len > 0;
     backend_paces_tell(sharing->backends, entries, sharing->peers->len);
@@ -254,21 +254,21 @@
     g_array_free(entries, TRUE);
 }
 
-/** Tells other zones what this one has under way. */
-static void tell_zones(load_sharing_t *sharing) {
+/** Sends this zone's loads to other zones. */
+static void send_zone_loads(load_sharing_t *sharing) {
     uint64_t now = uv_now(sharing->loop);
     GArray *entries = own_entries(sharing);
-    zone_loads_sum(&sharing->zone_loads, sharing->backends, entries);
+    zone_loads_add_local(&sharing->zone_loads, sharing->backends, entries);
     g_array_free(entries, TRUE);
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
-        if (now <= peer->heard_at + FORGET_MS)
-            zone_loads_sum(&sharing->zone_loads, sharing->backends, peer->entries);
+        if (now <= peer->heard_at + REPORT_EXPIRY_MS)
+            zone_loads_add_local(&sharing->zone_loads, sharing->backends, peer->entries);
     }
-    zone_loads_tell(&sharing->zone_loads, &sharing->socket);
+    zone_loads_send(&sharing->zone_loads, &sharing->socket);
 }
 
-/** Those that watch for the others look often whether there is something to tell. */
+/** Gateways that watch on behalf of others check more often whether a report is due. */
 static uint64_t renewing_period_ms(const load_sharing_t *sharing) {
     return load_report_period_ms(sharing->peers->len, false);
 }
@@ -277,73 +277,75 @@
     return load_report_period_ms(sharing->peers->len, !backends_half_full(sharing->backends));
 }
 
-/** True if the others should hear from this gateway now. */
-static bool due(const load_sharing_t *sharing, uint64_t now) {
+/** True if a report is due. */
+static bool report_due(const load_sharing_t *sharing, uint64_t now) {
     watch_report_t watch = {0};
-    sharing->handler->tell(sharing->owner, &watch);
-    /* Those that follow learn of a change as it comes; only who watches can tell them something.
-       That a watch was answered is told at once as well: the others' patience is hardly longer than
-       a watch and its pauses, and all took the duty over when they heard of it a second late. */
+    sharing->handler->fill_report(sharing->owner, &watch);
+    /*
+     * Followers receive a change by themselves, so only a gateway that watches reports it early. It
+     * also reports each response to its watch at once: the others' timeout is hardly longer than a
+     * watch and its pauses, and a late report would make all of them take over the watch role.
+     */
     bool answered = watch.answer_age != UINT32_MAX && now - watch.answer_age > sharing->sent_at;
     bool change = watch.changed != sharing->sent_report.changed;
-    bool news = (watch.renews && (change || answered)) ||
-                watch.has_stores != sharing->sent_report.has_stores ||
-                watch.renews != sharing->sent_report.renews;
+    bool urgent = (watch.renews && (change || answered)) ||
+                  watch.has_stores != sharing->sent_report.has_stores ||
+                  watch.renews != sharing->sent_report.renews;
     uint64_t refresh_ms = sharing->sent_any ? REFRESH_MS : IDLE_REFRESH_MS;
-    return news || sharing->backends->changes != sharing->sent_changes ||
+    return urgent || sharing->backends->changes != sharing->sent_changes ||
            now >= sharing->sent_at + refresh_ms;
 }
 
-/** Passes on what the others told; returns when that is to be done again at the latest, in ms. */
-static uint64_t report_watches(const load_sharing_t *sharing) {
+/** Passes on the reports of the others; returns the time in ms until this is due again. */
+static uint64_t deliver_reports(const load_sharing_t *sharing) {
     GArray *reports = g_array_new(FALSE, FALSE, sizeof(watch_report_t));
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
         if (peer->watch.heard_at > 0)
             g_array_append_val(reports, peer->watch);
     }
-    uint64_t again_ms = sharing->handler->on_reports(sharing->owner, reports, period_ms(sharing),
-                                                     renewing_period_ms(sharing));
+    uint64_t next_ms = sharing->handler->on_reports(sharing->owner, reports, period_ms(sharing),
+                                                    renewing_period_ms(sharing));
     g_array_free(reports, TRUE);
-    return again_ms;
+    return next_ms;
 }
 
 static void arm_timer(load_sharing_t *sharing) {
     bool renews = sharing->sent_report.renews;
-    look_within(sharing, renews ? renewing_period_ms(sharing) : period_ms(sharing));
+    check_within(sharing, renews ? renewing_period_ms(sharing) : period_ms(sharing));
 }
 
 static void on_timer(uv_timer_t *timer) {
     load_sharing_t *sharing = timer->data;
     uint64_t now = uv_now(sharing->loop);
     uint64_t changes = sharing->backends->changes;
-    sharing->look_at = UINT64_MAX;
-    if (due(sharing, now)) {
+    sharing->check_at = UINT64_MAX;
+    if (report_due(sharing, now)) {
         sharing->sent_changes = changes;
         sharing->sent_at = now;
-        tell_peers(sharing);
+        send_reports(sharing);
     }
     if (sharing->zone_loads.gateways->len > 0)
-        tell_zones(sharing);
+        send_zone_loads(sharing);
     sum_peers(sharing);
-    uint64_t again_ms = report_watches(sharing);
+    uint64_t next_ms = deliver_reports(sharing);
     arm_timer(sharing);
-    if (again_ms != UINT64_MAX)
-        look_within(sharing, again_ms);
+    if (next_ms != UINT64_MAX)
+        check_within(sharing, next_ms);
 }
 
-void load_sharing_look_soon(load_sharing_t *sharing) {
+void load_sharing_check_soon(load_sharing_t *sharing) {
     if (sharing->peers->len > 0)
-        look_within(sharing, 0);
+        check_within(sharing, 0);
 }
 
 void load_sharing_tell_now(load_sharing_t *sharing) {
     uint64_t now = uv_now(sharing->loop);
-    if (now < sharing->sent_at + URGENT_PAUSE_MS)
+    if (now < sharing->sent_at + URGENT_INTERVAL_MIN_MS)
         return;
     sharing->sent_changes = sharing->backends->changes;
     sharing->sent_at = now;
-    tell_peers(sharing);
+    send_reports(sharing);
 }
 
 bool load_sharing_find_relay(const load_sharing_t *sharing, struct sockaddr_in *address) {
@@ -351,10 +353,10 @@
     unsigned found = 0;
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
-        bool lately = now < peer->heard_at + RELAY_NEWS_MS;
-        if (!lately || !peer->watch.has_stores)
+        bool recent = now < peer->heard_at + RELAY_REPORT_EXPIRY_MS;
+        if (!recent || !peer->watch.has_stores)
             continue;
-        /* Each of them with the same chance. */
+        /* Each candidate has the same probability. */
         found++;
         if (g_random_int_range(0, (gint32)found) == 0)
             *address = peer->address;
@@ -362,16 +364,16 @@
     return found > 0;
 }
 
-/** True if others may follow this gateway's view of the key-value service. */
+/** True if others may follow this peer's view of the key-value service. */
 static bool may_be_followed(const load_sharing_t *sharing, const gateway_peer_t *peer) {
     uint64_t now = uv_now(sharing->loop);
-    bool lately = now < peer->heard_at + IDLE_REFRESH_MS + SOURCE_PERIODS * period_ms(sharing);
-    bool in_order =
+    bool recent = now < peer->heard_at + IDLE_REFRESH_MS + SOURCE_PERIODS * period_ms(sharing);
+    bool watch_works =
         sharing->below || watch_duty_in_order(&peer->watch, renewing_period_ms(sharing), now);
-    return lately && peer->watch.renews && in_order;
+    return recent && peer->watch.renews && watch_works;
 }
 
-/** How many others that may be followed come before @p peer by address. */
+/** Number of other gateways that may be followed and come before @p peer by address. */
 static unsigned sources_before(const load_sharing_t *sharing, const gateway_peer_t *peer) {
     unsigned before = 0;
     for (guint i = 0; i < sharing->peers->len; i++) {
@@ -381,7 +383,7 @@
     return before;
 }
 
-uint64_t load_sharing_changed(const load_sharing_t *sharing) {
+uint64_t load_sharing_latest_change(const load_sharing_t *sharing) {
     uint64_t changed = 0;
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
@@ -395,11 +397,11 @@
     unsigned found = 0;
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
-        /* Later ones will rest themselves. */
+        /* Later ones will suspend their own watches. */
         if (!may_be_followed(sharing, peer) || peer->watch.changed < changed ||
             sources_before(sharing, peer) >= WATCH_RENEWING)
             continue;
-        /* Each of them with the same chance. */
+        /* Each candidate has the same probability. */
         found++;
         if (g_random_int_range(0, (gint32)found) == 0)
             *address = peer->address;
@@ -407,8 +409,8 @@
     return found > 0;
 }
 
-bool load_sharing_look_at_source(const load_sharing_t *sharing, const struct sockaddr_in *address,
-                                 uint64_t *heard_at) {
+bool load_sharing_may_follow(const load_sharing_t *sharing, const struct sockaddr_in *address,
+                             uint64_t *heard_at) {
     const gateway_peer_t *peer = find_peer(sharing, address);
     *heard_at = peer == NULL ? 0 : peer->heard_at;
     return peer != NULL && may_be_followed(sharing, peer);
@@ -422,7 +424,7 @@
     sharing->owner = owner;
     sharing->loop = loop;
     sharing->own = *address;
-    sharing->look_at = UINT64_MAX;
+    sharing->check_at = UINT64_MAX;
     sharing->backends = backends;
     sharing->peers = g_ptr_array_new_with_free_func(free_peer);
     zone_loads_init(&sharing->zone_loads);
@@ -436,8 +438,8 @@
     return sharing;
 }
 
-void load_sharing_heed_stores(load_sharing_t *sharing) {
-    sharing->heeds_stores = true;
+void load_sharing_watch_stores(load_sharing_t *sharing) {
+    sharing->watches_stores = true;
 }
 
 unsigned load_sharing_rank(const load_sharing_t *sharing) {
--- a/src/gateway/load_sharing.h
+++ b/src/gateway/load_sharing.h
@@ -1,9 +1,9 @@
 /**
  * @file load_sharing.h
- * What the gateways tell one another: how many calls each has under way at each back end, which
- * back ends it finds down, and how far its watch of the key-value service has come. A
- * gateway learns of the others from the storage nodes, to which all connect. Datagrams; a lost
- * one is made good by the next, and what a silent gateway said last is soon forgotten.
+ * Reports exchanged between gateways: the calls that each has in progress at each back end, the
+ * back ends that it finds down, and the state of its watch of the key-value service. A gateway
+ * learns of the others from the storage nodes, to which all connect. Reports are datagrams; the
+ * next one makes up for a lost one, and the last report of an unresponsive gateway soon expires.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -15,51 +15,51 @@
 
 typedef struct load_sharing load_sharing_t;
 
-/** What gateways tell one another besides loads; see watch_duty.h. */
+/** Watch reports, which gateways exchange besides loads; see watch_duty.h. */
 typedef struct {
-    /** Fills in what this gateway tells. */
-    void (*tell)(void *owner, watch_report_t *report);
+    /** Fills in this gateway's report. */
+    void (*fill_report)(void *owner, watch_report_t *report);
     /**
-     * Comes once a period, and soon after another gateway told of a later change, with what the
-     * others told; @p reports of watch_report_t. Those that renew tell within @p
-     * renewing_period_ms. Returns within how many ms it wants to be called again; UINT64_MAX: in a
+     * Called once a period, and soon after another gateway reported a later change, with the
+     * reports of the others, of watch_report_t. Gateways that renew report within @p
+     * renewing_period_ms. Returns the time in ms until the next call is wanted; UINT64_MAX: a
      * period.
      */
     uint64_t (*on_reports)(void *owner, const GArray *reports, uint64_t period_ms,
                            uint64_t renewing_period_ms);
 } load_sharing_handler_t;
 
-/** NULL if @p address can't be used. */
+/** Returns NULL if @p address can't be used. */
 load_sharing_t *load_sharing_open(uv_loop_t *loop, const struct sockaddr_in *address,
                                   backends_t *backends, const load_sharing_handler_t *handler,
                                   void *owner);
 /**
- * Replaces the list of gateways by "IP:PORT" texts; its own address is left out. @p below: they
- * follow others (watch_duty.h).
+ * Replaces the list of gateways by "IP:PORT" texts; this gateway's own address is left out. @p
+ * below: they follow gateways of another cell (watch_duty.h).
  */
 void load_sharing_set_gateways(load_sharing_t *sharing, const GPtrArray *addresses, bool below);
-/** From now on, that another gateway lost the storage nodes is reported at once. */
-void load_sharing_heed_stores(load_sharing_t *sharing);
-/** How many of the other gateways come before this one by address. */
+/** From now on, reacts at once when another gateway loses the storage nodes. */
+void load_sharing_watch_stores(load_sharing_t *sharing);
+/** Number of other gateways that come before this one by address. */
 unsigned load_sharing_rank(const load_sharing_t *sharing);
-/** Adds up what the others told, if that has changed; to be called before a back end is chosen. */
+/** Sums up the reported loads if they have changed; to be called before a back end is chosen. */
 void load_sharing_refresh(load_sharing_t *sharing);
-/** The address of a gateway that said lately that it reaches storage nodes; false: none did. */
+/** Finds a gateway that recently reported that it reaches storage nodes; false: none did. */
 bool load_sharing_find_relay(const load_sharing_t *sharing, struct sockaddr_in *address);
 /**
- * The address of a gateway whose view of the key-value service may be followed, and that has seen
- * the change at revision @p changed; false: none.
+ * Finds a gateway whose view of the key-value service may be followed, and that has seen the change
+ * at revision @p changed; false: none.
  */
 bool load_sharing_find_source(const load_sharing_t *sharing, uint64_t changed,
                               struct sockaddr_in *address);
-/** The latest revision at which another gateway has seen a change, as they told lately. */
-uint64_t load_sharing_changed(const load_sharing_t *sharing);
-/** True if the gateway at @p address may still be followed; when it was last heard, in ms. */
-bool load_sharing_look_at_source(const load_sharing_t *sharing, const struct sockaddr_in *address,
-                                 uint64_t *heard_at);
-/** Tells the others now what this gateway knows; for news that can't wait. */
+/** The latest revision at which another gateway reported a change. */
+uint64_t load_sharing_latest_change(const load_sharing_t *sharing);
+/** True if the gateway at @p address may still be followed; sets the time of its last report. */
+bool load_sharing_may_follow(const load_sharing_t *sharing, const struct sockaddr_in *address,
+                             uint64_t *heard_at);
+/** Sends this gateway's report now; for urgent changes. */
 void load_sharing_tell_now(load_sharing_t *sharing);
-/** Looks in the next turn of the loop whether there is something to tell. */
-void load_sharing_look_soon(load_sharing_t *sharing);
+/** Checks in the next loop iteration whether a report is due. */
+void load_sharing_check_soon(load_sharing_t *sharing);
 
 #endif
--- a/src/gateway/zone_loads.c
+++ b/src/gateway/zone_loads.c
@@ -6,7 +6,7 @@
 #include <arpa/inet.h>
 #include <string.h>
 
-enum { FORGET_MS = 1000 /**< What a silent counterpart said last counts for so long. */ };
+enum { REPORT_EXPIRY_MS = 1000 /**< The loads of an older report are ignored. */ };
 
 /** A counterpart in another zone. */
 typedef struct {
@@ -14,10 +14,10 @@
     char *zone;
     uint64_t heard_at; /**< 0: never. */
     GArray *entries;   /**< Of load_entry_t: the sums of its zone. */
-} far_gateway_t;
+} remote_gateway_t;
 
 static void free_gateway(gpointer data) {
-    far_gateway_t *gateway = data;
+    remote_gateway_t *gateway = data;
     g_free(gateway->zone);
     if (gateway->entries != NULL)
         g_array_free(gateway->entries, TRUE);
@@ -33,9 +33,9 @@
     return a->sin_port == b->sin_port && a->sin_addr.s_addr == b->sin_addr.s_addr;
 }
 
-static far_gateway_t *find(const GPtrArray *gateways, const struct sockaddr_in *address) {
+static remote_gateway_t *find(const GPtrArray *gateways, const struct sockaddr_in *address) {
     for (guint i = 0; i < gateways->len; i++) {
-        far_gateway_t *gateway = g_ptr_array_index(gateways, i);
+        remote_gateway_t *gateway = g_ptr_array_index(gateways, i);
         if (same_address(&gateway->address, address))
             return gateway;
     }
@@ -44,8 +44,8 @@
 
 /** By zone, then by address. */
 static gint compare(gconstpointer a, gconstpointer b) {
-    const far_gateway_t *first = *(const far_gateway_t *const *)a;
-    const far_gateway_t *second = *(const far_gateway_t *const *)b;
+    const remote_gateway_t *first = *(const remote_gateway_t *const *)a;
+    const remote_gateway_t *second = *(const remote_gateway_t *const *)b;
     int zones = strcmp(first->zone, second->zone);
     uint32_t first_host = ntohl(first->address.sin_addr.s_addr);
     uint32_t second_host = ntohl(second->address.sin_addr.s_addr);
@@ -59,7 +59,7 @@
 static GPtrArray *read_gateways(const GPtrArray *texts) {
     GPtrArray *gateways = g_ptr_array_new_with_free_func(free_gateway);
     for (guint i = 0; i < texts->len; i++) {
-        far_gateway_t *gateway = g_new0(far_gateway_t, 1);
+        remote_gateway_t *gateway = g_new0(remote_gateway_t, 1);
         if (far_gateway_parse(g_ptr_array_index(texts, i), &gateway->zone, &gateway->address))
             g_ptr_array_add(gateways, gateway);
         else
@@ -69,26 +69,27 @@
     return gateways;
 }
 
-/** How many of the list from @p begin on are of one zone. */
+/** Number of gateways of the same zone from @p begin on. */
 static unsigned zone_length(const GPtrArray *gateways, unsigned begin) {
-    const far_gateway_t *first = g_ptr_array_index(gateways, begin);
+    const remote_gateway_t *first = g_ptr_array_index(gateways, begin);
     unsigned end = begin;
     while (end < gateways->len &&
-           strcmp(((far_gateway_t *)g_ptr_array_index(gateways, end))->zone, first->zone) == 0)
+           strcmp(((remote_gateway_t *)g_ptr_array_index(gateways, end))->zone, first->zone) == 0)
         end++;
     return end - begin;
 }
 
-/** Takes a counterpart over, with what it told if it was one before. */
-static void keep(zone_loads_t *loads, const GPtrArray *before, const far_gateway_t *told) {
-    far_gateway_t *gateway = g_new0(far_gateway_t, 1);
-    far_gateway_t *known = find(before, &told->address);
-    gateway->address = told->address;
-    gateway->zone = g_strdup(told->zone);
+/** Adds a counterpart, with its last report if it was one before. */
+static void add_counterpart(zone_loads_t *loads, const GPtrArray *before,
+                            const remote_gateway_t *listed) {
+    remote_gateway_t *gateway = g_new0(remote_gateway_t, 1);
+    remote_gateway_t *previous = find(before, &listed->address);
+    gateway->address = listed->address;
+    gateway->zone = g_strdup(listed->zone);
     gateway->entries = g_array_new(FALSE, TRUE, sizeof(load_entry_t));
-    if (known != NULL) {
-        gateway->heard_at = known->heard_at;
-        g_array_append_vals(gateway->entries, known->entries->data, known->entries->len);
+    if (previous != NULL) {
+        gateway->heard_at = previous->heard_at;
+        g_array_append_vals(gateway->entries, previous->entries->data, previous->entries->len);
     }
     g_ptr_array_add(loads->gateways, gateway);
 }
@@ -96,22 +97,22 @@
 void zone_loads_set_gateways(zone_loads_t *loads, const GPtrArray *texts, unsigned index,
                              unsigned count) {
     GPtrArray *before = loads->gateways;
-    GPtrArray *told = read_gateways(texts);
+    GPtrArray *listed = read_gateways(texts);
     loads->gateways = g_ptr_array_new_with_free_func(free_gateway);
-    for (unsigned begin = 0; begin < told->len;) {
-        unsigned length = zone_length(told, begin);
+    for (unsigned begin = 0; begin < listed->len;) {
+        unsigned length = zone_length(listed, begin);
         for (unsigned i = 0; i < length; i++)
             if (index % length == i || i % count == index)
-                keep(loads, before, g_ptr_array_index(told, begin + i));
+                add_counterpart(loads, before, g_ptr_array_index(listed, begin + i));
         begin += length;
     }
-    g_ptr_array_free(told, TRUE);
+    g_ptr_array_free(listed, TRUE);
     g_ptr_array_free(before, TRUE);
 }
 
-bool zone_loads_take(zone_loads_t *loads, const struct sockaddr_in *from, const void *data,
-                     size_t length, uint64_t now) {
-    far_gateway_t *gateway = find(loads->gateways, from);
+bool zone_loads_receive(zone_loads_t *loads, const struct sockaddr_in *from, const void *data,
+                        size_t length, uint64_t now) {
+    remote_gateway_t *gateway = find(loads->gateways, from);
     watch_report_t watch = {0};
     if (gateway == NULL)
         return false;
@@ -121,11 +122,11 @@
     return true;
 }
 
-/** True if none of its zone was heard later; of equals the first counts. */
-static bool heard_last(const zone_loads_t *loads, guint index) {
-    const far_gateway_t *gateway = g_ptr_array_index(loads->gateways, index);
+/** True if no other gateway of its zone reported later; of equals the first counts. */
+static bool is_latest(const zone_loads_t *loads, guint index) {
+    const remote_gateway_t *gateway = g_ptr_array_index(loads->gateways, index);
     for (guint i = 0; i < loads->gateways->len; i++) {
-        const far_gateway_t *other = g_ptr_array_index(loads->gateways, i);
+        const remote_gateway_t *other = g_ptr_array_index(loads->gateways, i);
         bool later = other->heard_at > gateway->heard_at ||
                      (other->heard_at == gateway->heard_at && i < index);
         if (later && strcmp(other->zone, gateway->zone) == 0)
@@ -134,10 +135,11 @@
     return true;
 }
 
-void zone_loads_add(const zone_loads_t *loads, backends_t *backends, uint64_t now) {
+void zone_loads_add_remote(const zone_loads_t *loads, backends_t *backends, uint64_t now) {
     for (guint i = 0; i < loads->gateways->len; i++) {
-        const far_gateway_t *gateway = g_ptr_array_index(loads->gateways, i);
-        if (gateway->heard_at == 0 || now > gateway->heard_at + FORGET_MS || !heard_last(loads, i))
+        const remote_gateway_t *gateway = g_ptr_array_index(loads->gateways, i);
+        if (gateway->heard_at == 0 || now > gateway->heard_at + REPORT_EXPIRY_MS ||
+            !is_latest(loads, i))
             continue;
         for (guint j = 0; j < gateway->entries->len; j++) {
             const load_entry_t *entry = &g_array_index(gateway->entries, load_entry_t, j);
@@ -150,7 +152,7 @@
     }
 }
 
-void zone_loads_sum(zone_loads_t *loads, backends_t *backends, const GArray *entries) {
+void zone_loads_add_local(zone_loads_t *loads, backends_t *backends, const GArray *entries) {
     for (guint i = 0; i < entries->len && loads->gateways->len > 0; i++) {
         const load_entry_t *entry = &g_array_index(entries, load_entry_t, i);
         const backend_t *backend = backends_find_hash(backends, entry->backend);
@@ -179,19 +181,19 @@
     return bytes;
 }
 
-void zone_loads_tell(zone_loads_t *loads, uv_udp_t *socket) {
+void zone_loads_send(zone_loads_t *loads, uv_udp_t *socket) {
     bool any = g_hash_table_size(loads->sums) > 0;
-    if (any || loads->told_any) {
+    if (any || loads->sent_any) {
         GBytes *bytes = encode_sums(loads);
         gsize length;
         const void *data = g_bytes_get_data(bytes, &length);
         uv_buf_t buffer = uv_buf_init((char *)data, (unsigned)length);
         for (guint i = 0; i < loads->gateways->len; i++) {
-            const far_gateway_t *gateway = g_ptr_array_index(loads->gateways, i);
+            const remote_gateway_t *gateway = g_ptr_array_index(loads->gateways, i);
             uv_udp_try_send(socket, &buffer, 1, (const struct sockaddr *)&gateway->address);
         }
         g_bytes_unref(bytes);
     }
-    loads->told_any = any;
+    loads->sent_any = any;
     g_hash_table_remove_all(loads->sums);
 }
--- a/tests/unit/control_traffic_test.cc
+++ b/tests/unit/control_traffic_test.cc
@@ -1,6 +1,6 @@
-// A model of the traffic by which gateways and storage nodes keep in touch, at 30 to 3,300 gateways
-// and 10,000 back ends: the real divisions into cells, decisions and encodings, without processes.
-// Prints a table; the bounds fail when something that one process does grows with the fleet.
+// Model of the control traffic of gateways and storage nodes at 30 to 3,300 gateways and 10,000
+// back ends, with the real cells, decisions and encodings but without processes. Prints a table;
+// fails when the work of one process grows with the fleet.
 #include <gtest/gtest.h>
 
 #include <arpa/inet.h>
@@ -33,7 +33,7 @@
 constexpr unsigned tolerated_losses = 2;
 constexpr unsigned page_items = 200;
 constexpr double ms_per_s = 1000;
-constexpr double datagrams_idle_a_s = 1; /**< IDLE_REFRESH_MS of gateway/load_sharing.c. */
+constexpr double idle_datagrams_per_s = 1; /**< From IDLE_REFRESH_MS of gateway/load_sharing.c. */
 
 size_t size_of(GBytes *bytes) {
     size_t size = g_bytes_get_size(bytes);
@@ -41,25 +41,25 @@
     return size;
 }
 
-/** What one process of a role does. */
+/** Work of one process of a role. */
 struct Figures {
-    double calm_messages = 0; /**< Sent a second. */
-    double calm_bytes = 0;
-    size_t start_bytes = 0;  /**< Sent once, while all start after a loss of power. */
-    size_t change_bytes = 0; /**< Sent at a change of one back end. */
-    size_t loss_bytes = 0;   /**< Sent when one gateway is gone. */
-    size_t state_bytes = 0;  /**< Held of other processes and of the directory. */
+    double steady_messages = 0; /**< Sent per second. */
+    double steady_bytes = 0;
+    size_t start_bytes = 0;  /**< Sent once, when all start together after a power failure. */
+    size_t change_bytes = 0; /**< Sent for a change of one back end. */
+    size_t loss_bytes = 0;   /**< Sent when one gateway is removed. */
+    size_t state_bytes = 0;  /**< Held about other processes and the directory. */
 };
 
 struct Fleet {
     unsigned gateways = 0;
     size_t known = 0;         /**< Gateways that one gateway knows, at most. */
     unsigned followers = 0;   /**< Of one gateway, at most. */
-    unsigned hops = 0;        /**< From the service's answer to the last gateway. */
-    unsigned watching = 0;    /**< Gateways that watch the service while calm. */
-    double calls_a_s = 0;     /**< To the service, of all gateways, while calm. */
-    unsigned start_calls = 0; /**< Of all gateways, listing while all start. */
-    Figures gateway;          /**< The busiest. */
+    unsigned hops = 0;        /**< From the service's response to the last gateway. */
+    unsigned watching = 0;    /**< Gateways that watch the service in the steady state. */
+    double calls_per_s = 0;   /**< To the service, of all gateways, in the steady state. */
+    unsigned start_calls = 0; /**< Of all gateways, to list the service when all start together. */
+    Figures gateway;          /**< The one with the most followers. */
     Figures store;            /**< A member of the store group. */
 };
 
@@ -82,14 +82,14 @@
         fleet.gateways = gateways;
         for (unsigned i = 0; i < gateways; i++)
             add_gateway(i, zones);
-        size_t list_bytes = tell();
+        size_t list_bytes = send_lists();
         std::map<std::string, std::set<std::string>> cells = cells_by_source();
-        for (const auto &[serial, list] : told)
+        for (const auto &[serial, list] : lists)
             fleet.known = std::max(fleet.known, list.known.size());
-        fleet.followers = most_followers(cells);
+        fleet.followers = max_followers(cells);
         fleet.hops = cells.size() > 1 ? 2 : 1;
         fleet.watching = watching();
-        fleet.calls_a_s = fleet.watching * ms_per_s / WATCH_WAIT_RENEWING_MS;
+        fleet.calls_per_s = fleet.watching * ms_per_s / WATCH_WAIT_RENEWING_MS;
         fleet.start_calls = gateways + listing() * (backends / page_items);
         measure_gateway(fleet);
         measure_store(fleet, list_bytes);
@@ -104,13 +104,13 @@
     gateway_directory_t directory;
     directory_snapshot_t snapshot;
     std::vector<std::unique_ptr<uint64_t>> serials;
-    std::map<uint64_t, List> told;
+    std::map<uint64_t, List> lists;
     std::map<uint64_t, std::string> addresses;
-    size_t told_bytes = 0;
+    size_t sent_bytes = 0;
 
     void add_backend(unsigned number) {
         char key[32];
-        /* Scattered as real ones are: consecutive names and addresses would be compressed away. */
+        /* Scattered like real ones: consecutive names and addresses would compress too well. */
         uint64_t scattered = number * 0x9e3779b97f4a7c15U;
         snprintf(key, sizeof key, "servers/i-%010llx",
                  static_cast<unsigned long long>(scattered >> 24));
@@ -134,9 +134,9 @@
         gateway_directory_add(&directory, serials.back().get(), address.c_str(),
                               ("zone-" + std::to_string(number % zones)).c_str());
     }
-    static void on_told(void *user, const uint64_t *serial, const gateway_list_t *list) {
+    static void on_list(void *user, const uint64_t *serial, const gateway_list_t *list) {
         auto *model = static_cast<Model *>(user);
-        List &to = model->told[*serial];
+        List &to = model->lists[*serial];
         message_t message;
         message_init(&message, MESSAGE_GATEWAYS);
         for (guint i = 0; i < list->known->len; i++) {
@@ -149,44 +149,44 @@
             to.sources.emplace_back(address);
             g_ptr_array_add(message.sources, g_strdup(address));
         }
-        model->told_bytes += size_of(message_encode(&message));
+        model->sent_bytes += size_of(message_encode(&message));
         message_clear(&message);
     }
-    size_t tell() {
-        told_bytes = 0;
-        told.clear();
-        gateway_directory_tell(&directory, on_told, this);
-        return told_bytes;
+    size_t send_lists() {
+        sent_bytes = 0;
+        lists.clear();
+        gateway_directory_tell(&directory, on_list, this);
+        return sent_bytes;
     }
-    /** Cells that are not the root, named by their first gateway, by the source that they share. */
+    /** Cells other than the root, identified by their first gateway, grouped by common source. */
     std::map<std::string, std::set<std::string>> cells_by_source() {
         std::map<std::string, std::set<std::string>> cells;
-        for (const auto &[serial, list] : told) {
+        for (const auto &[serial, list] : lists) {
             std::string first = *std::min_element(list.known.begin(), list.known.end());
             cells[list.sources.empty() ? first : list.sources[0]].insert(first);
         }
         return cells;
     }
-    unsigned most_followers(const std::map<std::string, std::set<std::string>> &cells) {
+    unsigned max_followers(const std::map<std::string, std::set<std::string>> &cells) {
         size_t own = 0;
-        for (const auto &[serial, list] : told)
+        for (const auto &[serial, list] : lists)
             own = std::max(own, list.known.size() / WATCH_RENEWING + 1);
         size_t below = 0;
         for (const auto &[source, in_zone] : cells)
             below = std::max(below, in_zone.size());
         return static_cast<unsigned>(own + below);
     }
-    /** How many gateways of its cell come before a gateway. */
+    /** Number of gateways of a cell that come before @p address. */
     static unsigned rank_of(const List &list, const std::string &address) {
         return static_cast<unsigned>(
             std::count_if(list.known.begin(), list.known.end(),
                           [&address](const std::string &other) { return other < address; }));
     }
-    /** Gateways that watch the service, by what each decides from the reports of its cell. */
+    /** Gateways that watch the service, as each decides from the reports of its cell. */
     unsigned watching() {
         constexpr uint64_t now = 100000;
         unsigned found = 0;
-        for (const auto &[serial, list] : told) {
+        for (const auto &[serial, list] : lists) {
             auto peers = static_cast<unsigned>(list.known.size() - 1);
             unsigned rank = rank_of(list, addresses.at(serial));
             std::vector<watch_report_t> reports(peers);
@@ -200,15 +200,15 @@
         }
         return found;
     }
-    /** Gateways that list the service at a start, while views come to the others. */
+    /** Gateways that list the service at startup while the others are sent views. */
     unsigned listing() {
         constexpr uint64_t start = 5000;
-        constexpr uint64_t patience_ms = 1000;
+        constexpr uint64_t elapsed_ms = 1000;
         unsigned found = 0;
-        for (const auto &[serial, list] : told) {
+        for (const auto &[serial, list] : lists) {
             unsigned rank = rank_of(list, addresses.at(serial));
             listing_turn_t turn = {start, start, rank, !list.sources.empty(), false, 0, 0};
-            found += listing_turn_due(&turn, start + LISTING_SETTLE_MS + patience_ms) ? 1 : 0;
+            found += listing_turn_due(&turn, start + LISTING_SETTLE_MS + elapsed_ms) ? 1 : 0;
         }
         return found;
     }
@@ -244,11 +244,11 @@
         Figures &figures = fleet.gateway;
         auto peers = static_cast<unsigned>(fleet.known - 1);
         double period_ms = static_cast<double>(load_report_period_ms(peers, true));
-        double datagrams = peers * std::max(datagrams_idle_a_s, ms_per_s / period_ms);
-        figures.calm_messages = datagrams + fleet.followers;
-        figures.calm_bytes = datagrams * static_cast<double>(report_bytes()) +
-                             fleet.followers * static_cast<double>(changes_bytes(false)) +
-                             BACKEND_PACES_BYTES_A_S;
+        double datagrams = peers * std::max(idle_datagrams_per_s, ms_per_s / period_ms);
+        figures.steady_messages = datagrams + fleet.followers;
+        figures.steady_bytes = datagrams * static_cast<double>(report_bytes()) +
+                               fleet.followers * static_cast<double>(changes_bytes(false)) +
+                               BACKEND_PACES_BYTES_A_S;
         size_t view = size_of(directory_snapshot_encode(&snapshot));
         figures.start_bytes = fleet.followers * changes_bytes(false);
         figures.change_bytes = fleet.followers * changes_bytes(true);
@@ -258,15 +258,15 @@
         Figures &figures = fleet.store;
         unsigned members = store_group_size(tolerated_losses);
         size_t view = size_of(directory_snapshot_encode(&snapshot));
-        /* Each gateway asks one member for the view; each member tells each gateway its list. */
+        /* Each gateway requests the view from one member; each member sends it its list. */
         figures.start_bytes = list_bytes + fleet.gateways / members * view;
         figures.state_bytes = view;
-        size_t most = 0;
+        size_t max_bytes = 0;
         for (unsigned i = 0; i < 20 && i < serials.size(); i++) {
             gateway_directory_remove(&directory, serials[serials.size() - 1 - i].get());
-            most = std::max(most, tell());
+            max_bytes = std::max(max_bytes, send_lists());
         }
-        figures.loss_bytes = most;
+        figures.loss_bytes = max_bytes;
     }
 };
 
@@ -281,35 +281,35 @@
     return fleets;
 }
 
-TEST(ControlTraffic, WhatOneProcessDoesDoesNotGrowWithTheFleet) {
+TEST(ControlTraffic, WorkOfOneProcessDoesNotGrowWithTheFleet) {
     std::map<unsigned, Fleet> fleets = measure_all();
     printf("%8s %6s %9s %5s %8s %8s %11s %9s %9s %10s %9s %9s\n", "gateways", "knows", "followers",
            "hops", "watching", "calls/s", "start calls", "msg/s", "B/s", "B a change", "store MB",
            "B a loss");
     for (const auto &[gateways, fleet] : fleets)
         printf("%8u %6zu %9u %5u %8u %8.1f %11u %9.1f %9.0f %10zu %9.1f %9zu\n", gateways,
-               fleet.known, fleet.followers, fleet.hops, fleet.watching, fleet.calls_a_s,
-               fleet.start_calls, fleet.gateway.calm_messages, fleet.gateway.calm_bytes,
+               fleet.known, fleet.followers, fleet.hops, fleet.watching, fleet.calls_per_s,
+               fleet.start_calls, fleet.gateway.steady_messages, fleet.gateway.steady_bytes,
                fleet.gateway.change_bytes, static_cast<double>(fleet.store.start_bytes) / 1e6,
                fleet.store.loss_bytes);
     for (const auto &[gateways, fleet] : fleets) {
         EXPECT_LE(fleet.known, 2U * GATEWAYS_CELL_MOST) << gateways;
         EXPECT_LE(fleet.followers, GATEWAYS_CELL_MOST) << gateways;
-        EXPECT_LE(fleet.watching, 16U * WATCH_RENEWING) << "three a zone, whatever its size";
-        EXPECT_LE(fleet.gateway.calm_bytes, 14000) << "a node's share for control, B/s";
+        EXPECT_LE(fleet.watching, 16U * WATCH_RENEWING) << "three per zone, whatever its size";
+        EXPECT_LE(fleet.gateway.steady_bytes, 14000) << "share of a node for control traffic, B/s";
         EXPECT_LE(load_report_period_ms(static_cast<unsigned>(fleet.known), true), 1200U)
-            << "others' watches are trusted only if they are told of so often";
+            << "less frequent watch reports are not trusted";
     }
     const Fleet &small = fleets[300];
     const Fleet &large = fleets[3300];
-    EXPECT_LE(large.gateway.calm_bytes, 2 * small.gateway.calm_bytes);
+    EXPECT_LE(large.gateway.steady_bytes, 2 * small.gateway.steady_bytes);
     EXPECT_LE(large.gateway.change_bytes, 2 * small.gateway.change_bytes);
     EXPECT_LE(large.store.loss_bytes, 4 * small.store.loss_bytes);
     EXPECT_EQ(large.store.state_bytes, small.store.state_bytes);
 }
 
-// Each gateway's listing was 52 calls: 45,000 at 865 gateways, 172,000 at 3,300.
-TEST(ControlTraffic, AStartTakesOneCallAGatewayAndTheListingsOfThreeAZone) {
+// Guards against a listing of the service by every gateway.
+TEST(ControlTraffic, StartupTakesOneCallPerGatewayAndThreeListingsPerZone) {
     std::map<unsigned, Fleet> fleets = measure_all();
     for (const auto &[gateways, fleet] : fleets)
         EXPECT_LE(fleet.start_calls, gateways + 16 * WATCH_RENEWING * (backends / page_items));
--- a/tests/unit/cut_zone_test.cc
+++ b/tests/unit/cut_zone_test.cc
@@ -1,9 +1,6 @@
-// A cut zone among real storage nodes and gateways' store clients, in virtual time: eight storage
-// nodes and eight gateways in four zones, a group of five.
-//
-// Load: a reserve on one gateway of the zone at the moment of the cut. What its caller gets: the
-// verdict (unsure, its call is not sent) within 600 ms; before, after 1,500 ms, or a wait through a
-// neighbour behind the same cut, whose links counted as connected.
+// Isolation of a zone in virtual time, with real storage nodes and store clients: eight storage
+// nodes and eight gateways in four zones, a group of five. Guards against a reserve in the isolated
+// zone that stays undecided for longer than 600 ms, or that waits for a neighbour in the same zone.
 #include <gtest/gtest.h>
 
 #include <cstring>
@@ -15,12 +12,12 @@
 
 namespace {
 
-constexpr uint64_t founded_ms = 8000;
-constexpr uint64_t known_ms = 600;
+constexpr uint64_t group_formed_ms = 8000;
+constexpr uint64_t detection_ms = 600;
 constexpr uint64_t budget = 1000;
 
 struct Verdict {
-    bool said = false;
+    bool decided = false;
     verdict_t verdict = VERDICT_YES;
     uint64_t at = 0;
 };
@@ -37,7 +34,7 @@
 
 const store_operation_handler_t handler = {on_verdict, on_durable};
 
-class CutZone : public testing::Test {
+class IsolatedZone : public testing::Test {
   protected:
     world_t *world = nullptr;
 
@@ -47,7 +44,7 @@
         world->relays = true;
         if (watches)
             world_watch_zones(world);
-        run(founded_ms);
+        run(group_formed_ms);
     }
     static void run(uint64_t ms) {
         virtual_run(virtual_now() + ms);
@@ -66,12 +63,12 @@
             all.push_back(store(i)->process);
         return all;
     }
-    // Cuts all of zone 0 from all others, or joins them again.
-    void cut_zone(bool cut) const {
-        for (auto *near : processes())
-            for (auto *far : processes())
-                if (strcmp(near->zone, "zone-0") == 0 && strcmp(far->zone, "zone-0") != 0)
-                    virtual_network_cut(near, far, cut);
+    // Isolates zone 0 from all others, or reconnects it.
+    void isolate_zone(bool isolated) const {
+        for (auto *inside : processes())
+            for (auto *outside : processes())
+                if (strcmp(inside->zone, "zone-0") == 0 && strcmp(outside->zone, "zone-0") != 0)
+                    virtual_network_cut(inside, outside, isolated);
     }
     store_operation_t *reserve(guint index, const char *program, Verdict *verdict) const {
         return store_client_reserve(gateway(index)->client, program, "call", 10, budget, false,
@@ -79,57 +76,57 @@
     }
 };
 
-TEST_F(CutZone, AnUndecidedReserveEndsSoonAndTheZoneStaysCutUntilAQuorumIsHeard) {
+TEST_F(IsolatedZone, APendingReserveEndsEarlyAndTheZoneStaysIsolatedUntilAQuorumResponds) {
     start(true);
     ASSERT_TRUE(store_client_connected(gateway(0)->client));
-    cut_zone(true);
-    uint64_t began = virtual_now();
+    isolate_zone(true);
+    uint64_t started_at = virtual_now();
     Verdict verdict;
     reserve(0, "p1", &verdict);
-    run(known_ms);
-    ASSERT_TRUE(verdict.said);
+    run(detection_ms);
+    ASSERT_TRUE(verdict.decided);
     EXPECT_EQ(verdict.verdict, VERDICT_UNSURE);
-    EXPECT_LE(verdict.at - began, known_ms);
+    EXPECT_LE(verdict.at - started_at, detection_ms);
     store_client_settle(gateway(0)->client, "p1", "call", 10, 0);
     EXPECT_TRUE(store_client_zone_cut(gateway(0)->client));
     EXPECT_FALSE(store_client_zone_cut(gateway(1)->client)) << "another zone";
-    EXPECT_FALSE(store_client_zone_cut(gateway(4)->client)) << "it had nothing to ask";
+    EXPECT_FALSE(store_client_zone_cut(gateway(4)->client)) << "it had no pending request";
     store_client_doubt(gateway(4)->client);
-    run(known_ms);
-    EXPECT_TRUE(store_client_zone_cut(gateway(4)->client)) << "at a neighbour's word";
-    for (unsigned i = 0; i < 120; i++) { // Links through neighbours open again and again.
+    run(detection_ms);
+    EXPECT_TRUE(store_client_zone_cut(gateway(4)->client)) << "after a neighbour's report";
+    for (unsigned i = 0; i < 120; i++) { // Links through neighbours reopen repeatedly.
         run(50);
         ASSERT_TRUE(store_client_zone_cut(gateway(0)->client)) << i;
         ASSERT_FALSE(store_client_connected(gateway(0)->client)) << i;
         ASSERT_FALSE(store_client_connected_directly(gateway(4)->client)) << i;
     }
-    cut_zone(false);
+    isolate_zone(false);
     run(3000);
     EXPECT_FALSE(store_client_zone_cut(gateway(0)->client));
     EXPECT_TRUE(store_client_connected(gateway(0)->client));
-    // What was reserved in the cut was settled with nothing: the whole budget is there.
+    // The reservation made during isolation was settled with 0: the whole budget is available.
     Verdict whole;
     store_client_reserve(gateway(0)->client, "p1", "whole", budget, budget, false, &handler,
                          &whole);
     run(1000);
-    ASSERT_TRUE(whole.said);
+    ASSERT_TRUE(whole.decided);
     EXPECT_EQ(whole.verdict, VERDICT_YES);
 }
 
-TEST_F(CutZone, IsNotLookedForUnlessAskedFor) {
+TEST_F(IsolatedZone, IsNotDetectedUnlessEnabled) {
     start(false);
-    cut_zone(true);
+    isolate_zone(true);
     Verdict verdict;
     reserve(0, "p1", &verdict);
     store_client_doubt(gateway(0)->client);
-    run(known_ms);
-    EXPECT_FALSE(verdict.said);
+    run(detection_ms);
+    EXPECT_FALSE(verdict.decided);
     EXPECT_FALSE(store_client_zone_cut(gateway(0)->client));
     run(1000);
-    EXPECT_TRUE(verdict.said) << "given up after 1,500 ms";
+    EXPECT_TRUE(verdict.decided) << "timed out after 1,500 ms";
 }
 
-TEST_F(CutZone, TheLossOfAllStorageNodesIsNone) {
+TEST_F(IsolatedZone, TheLossOfAllStorageNodesIsNoIsolation) {
     start(true);
     for (guint i = 0; i < world->stores->len; i++)
         world_end_store(store(i), END_POWER_LOST);
@@ -143,7 +140,7 @@
     }
 }
 
-TEST_F(CutZone, OneStorageNodeLostIsNone) {
+TEST_F(IsolatedZone, TheLossOfOneStorageNodeIsNoIsolation) {
     start(true);
     for (guint lost = 0; lost < 2; lost++) {
         world_end_store(store(lost), END_POWER_LOST);
@@ -160,11 +157,11 @@
     }
 }
 
-TEST_F(CutZone, AGatewayCutOffAloneGoesOnThroughANeighbour) {
+TEST_F(IsolatedZone, AGatewayIsolatedAloneUsesARelay) {
     start(true);
-    for (auto *far : processes())
-        if (strcmp(far->zone, "zone-0") != 0 && strncmp(far->name, "store", 5) == 0)
-            virtual_network_cut(gateway(0)->process, far, true);
+    for (auto *outside : processes())
+        if (strcmp(outside->zone, "zone-0") != 0 && strncmp(outside->name, "store", 5) == 0)
+            virtual_network_cut(gateway(0)->process, outside, true);
     Verdict verdict;
     reserve(0, "p1", &verdict);
     run(3000);
--- a/tests/unit/directory_follow_test.cc
+++ b/tests/unit/directory_follow_test.cc
@@ -1,4 +1,4 @@
-// A gateway that follows another one's view of the key-value service, over loopback.
+// Following another gateway's view of the key-value service, over loopback.
 #include <gtest/gtest.h>
 
 #include <arpa/inet.h>
@@ -17,21 +17,21 @@
 
 namespace {
 
-constexpr uint64_t patience_ms = 3000;
+constexpr uint64_t timeout_ms = 3000;
 
-/** The source: its view, and the listener on which it can be followed. */
+/** State of the source, and its feed. */
 struct Source {
     directory_snapshot_t snapshot;
-    uint64_t known = 0;
-    bool watching = true;
+    uint64_t revision = 0;
+    bool followable = true;
     uint32_t answer_age = 0;
     directory_feed_t *feed = nullptr;
 };
 
-/** What the follower was told. */
+/** What the follower received. */
 struct Follower {
     std::map<std::string, std::string> items;
-    uint64_t known = 0;
+    uint64_t revision = 0;
     uint64_t view = 0;
     unsigned views = 0;
     unsigned same = 0;
@@ -40,11 +40,11 @@
 
 void read_state(void *owner, directory_feed_state_t *state) {
     auto *source = static_cast<Source *>(owner);
-    *state = {&source->snapshot, nullptr, source->known, source->watching, source->answer_age};
+    *state = {&source->snapshot, nullptr, source->revision, source->followable, source->answer_age};
 }
 
-uint64_t follower_known(void *owner) {
-    return static_cast<Follower *>(owner)->known;
+uint64_t follower_revision(void *owner) {
+    return static_cast<Follower *>(owner)->revision;
 }
 
 uint64_t follower_view(void *owner) {
@@ -57,9 +57,9 @@
     return {data, length};
 }
 
-void on_directory(void *owner, const directory_snapshot_t *snapshot, uint64_t known) {
+void on_directory(void *owner, const directory_snapshot_t *snapshot, uint64_t revision) {
     auto *follower = static_cast<Follower *>(owner);
-    follower->known = known;
+    follower->revision = revision;
     if (snapshot == nullptr) {
         follower->same++;
         return;
@@ -74,7 +74,7 @@
     follower->views++;
 }
 
-void on_changes(void *owner, const GArray *changes, uint64_t known) {
+void on_changes(void *owner, const GArray *changes, uint64_t revision) {
     auto *follower = static_cast<Follower *>(owner);
     for (guint i = 0; i < changes->len; i++) {
         const key_value_item_t *item = &g_array_index(changes, key_value_item_t, i);
@@ -83,7 +83,7 @@
         else
             follower->items[item->key] = text_of(item->value);
     }
-    follower->known = known;
+    follower->revision = revision;
 }
 
 void on_group(void *, const message_t *) {
@@ -93,10 +93,10 @@
     static_cast<Follower *>(owner)->lost++;
 }
 
-const directory_follow_handler_t follow_handler = {follower_known, follower_view, on_directory,
-                                                   on_changes,     on_group,      on_lost};
+const directory_follow_handler_t follow_handler = {follower_revision, follower_view, on_directory,
+                                                   on_changes,        on_group,      on_lost};
 
-/** Feeds, followers and their loop live as long as their process: they are kept, not freed. */
+/** Feeds, followers and their loop can't be freed; they live as long as the process. */
 struct World {
     uv_loop_t loop;
     sockaddr_in address{};
@@ -129,9 +129,9 @@
         }
         follow = directory_follow_new(&loop, &follow_handler, &follower);
     }
-    /** Runs the loop until @p done, or for too long. */
+    /** Runs the loop until @p done or a timeout. */
     bool run_until(const std::function<bool()> &done) {
-        uint64_t until = uv_now(&loop) + patience_ms;
+        uint64_t until = uv_now(&loop) + timeout_ms;
         uv_timer_t tick;
         uv_timer_init(&loop, &tick);
         uv_timer_start(
@@ -151,8 +151,8 @@
                                  value == nullptr ? nullptr : g_bytes_new(value, strlen(value)),
                                  revision};
         directory_snapshot_note(&source.snapshot, &item);
-        source.known = revision;
-        directory_feed_note(source.feed, &item);
+        source.revision = revision;
+        directory_feed_notify(source.feed, &item);
         if (item.value != nullptr)
             g_bytes_unref(item.value);
     }
@@ -169,139 +169,140 @@
     directory_follow_t *&follow;
 };
 
-TEST_F(DirectoryFollow, GetsAllThatIsKnownAndThenEachChange) {
+TEST_F(DirectoryFollow, ReceivesTheCompleteViewAndThenEachChange) {
     write("servers/a", "ready", 5);
     write("servers/b", "ready", 6);
     ASSERT_TRUE(begin());
     EXPECT_EQ(follower.items.size(), 2U);
-    EXPECT_EQ(follower.known, 6U);
+    EXPECT_EQ(follower.revision, 6U);
     write("servers/a", "draining", 7);
     write("servers/b", nullptr, 8);
-    ASSERT_TRUE(run_until([this] { return follower.known == 8; }));
+    ASSERT_TRUE(run_until([this] { return follower.revision == 8; }));
     EXPECT_EQ(follower.items, (std::map<std::string, std::string>{{"servers/a", "draining"}}));
-    EXPECT_EQ(follower.views, 1U) << "changes alone";
+    EXPECT_EQ(follower.views, 1U) << "only changes are sent";
 }
 
-TEST_F(DirectoryFollow, AChangeThatNobodyNeedsMovesTheRevisionOn) {
+TEST_F(DirectoryFollow, AnIrrelevantChangeAdvancesTheRevision) {
     write("servers/a", "ready", 5);
     ASSERT_TRUE(begin());
-    source.known = 9;
-    directory_feed_note(source.feed, nullptr);
-    EXPECT_TRUE(run_until([this] { return follower.known == 9; }));
+    source.revision = 9;
+    directory_feed_notify(source.feed, nullptr);
+    EXPECT_TRUE(run_until([this] { return follower.revision == 9; }));
 }
 
-TEST_F(DirectoryFollow, WhatAListingLacksIsGoneForFollowersToo) {
+TEST_F(DirectoryFollow, ItemsMissingFromAListingAreRemovedAtFollowers) {
     write("servers/a", "ready", 5);
     write("servers/b", "ready", 6);
     ASSERT_TRUE(begin());
-    source.known = 0;
-    key_value_item_t gone = {const_cast<char *>("servers/a"), nullptr, 0};
-    directory_snapshot_note(&source.snapshot, &gone);
-    directory_feed_note(source.feed, &gone);
-    source.known = 6;
-    directory_feed_note(source.feed, nullptr);
+    source.revision = 0;
+    key_value_item_t removed = {const_cast<char *>("servers/a"), nullptr, 0};
+    directory_snapshot_note(&source.snapshot, &removed);
+    directory_feed_notify(source.feed, &removed);
+    source.revision = 6;
+    directory_feed_notify(source.feed, nullptr);
     EXPECT_TRUE(run_until([this] { return follower.items.size() == 1; }));
-    EXPECT_EQ(follower.views, 1U) << "only what has changed is told";
+    EXPECT_EQ(follower.views, 1U) << "only changes are sent";
 }
 
-// After a restart of 865 gateways each has the view that the storage nodes kept.
-TEST_F(DirectoryFollow, OneThatHasTheSameViewGetsNoOther) {
+// After a restart every gateway has the view stored by the storage nodes; it must not be sent
+// again.
+TEST_F(DirectoryFollow, AnIdenticalViewIsNotSentAgain) {
     write("servers/a", "ready", 5);
     follower.view = source.snapshot.digest;
-    follower.known = 4;
+    follower.revision = 4;
     directory_follow_begin(follow, &address, DIRECTORY_AVOID_MS);
     ASSERT_TRUE(run_until([this] { return follower.same == 1; }));
-    EXPECT_EQ(follower.known, 5U);
+    EXPECT_EQ(follower.revision, 5U);
     EXPECT_EQ(follower.views, 0U);
     EXPECT_TRUE(directory_follow_current(follow));
     write("servers/b", "ready", 6);
     EXPECT_TRUE(run_until([this] { return follower.items.size() == 1; }));
 }
 
-TEST_F(DirectoryFollow, OneWhoseViewHasChangedMeanwhileLeavesTheSource) {
+TEST_F(DirectoryFollow, AViewThatChangedSinceTheRequestEndsFollowing) {
     write("servers/a", "ready", 5);
     follower.view = source.snapshot.digest;
-    follower.known = 7;
+    follower.revision = 7;
     directory_follow_begin(follow, &address, DIRECTORY_AVOID_MS);
     run_until([this] { return directory_feed_followers(source.feed) == 1; });
     follower.view++;
-    source.known = 8;
-    directory_feed_note(source.feed, nullptr);
+    source.revision = 8;
+    directory_feed_notify(source.feed, nullptr);
     EXPECT_TRUE(run_until([this] { return follower.lost == 1; }));
     EXPECT_EQ(follower.same, 0U);
 }
 
-TEST_F(DirectoryFollow, KnowsHowLongAgoTheServiceConfirmedItsView) {
+TEST_F(DirectoryFollow, ReportsTheAgeOfItsView) {
     write("servers/a", "ready", 5);
     EXPECT_EQ(directory_follow_answer_age(follow), UINT32_MAX);
     source.answer_age = 2000;
     ASSERT_TRUE(begin());
     EXPECT_GE(directory_follow_answer_age(follow), 2000U);
-    EXPECT_LT(directory_follow_answer_age(follow), 2000U + patience_ms);
+    EXPECT_LT(directory_follow_answer_age(follow), 2000U + timeout_ms);
     source.answer_age = 100;
     EXPECT_TRUE(run_until([this] { return directory_follow_answer_age(follow) < 2000; }))
-        << "it is told anew without any change";
+        << "the age is sent without any change";
     source.answer_age = UINT32_MAX;
     EXPECT_TRUE(run_until([this] { return directory_follow_answer_age(follow) == UINT32_MAX; }));
 }
 
-TEST_F(DirectoryFollow, ASourceThatKnowsLessIsWaitedForAWhileAndThenLeft) {
+TEST_F(DirectoryFollow, ASourceThatStaysBehindTimesOut) {
     write("servers/a", "ready", 5);
-    follower.known = 7;
+    follower.revision = 7;
     directory_follow_begin(follow, &address, DIRECTORY_AVOID_MS);
     EXPECT_TRUE(run_until([this] { return follower.lost == 1; }));
-    EXPECT_EQ(follower.known, 7U);
+    EXPECT_EQ(follower.revision, 7U);
     EXPECT_EQ(follower.views, 0U);
     EXPECT_FALSE(directory_follow_active(follow));
 }
 
 TEST_F(DirectoryFollow, ASourceThatCatchesUpIsFollowed) {
     write("servers/a", "ready", 5);
-    follower.known = 7;
+    follower.revision = 7;
     directory_follow_begin(follow, &address, DIRECTORY_AVOID_MS);
     run_until([this] { return directory_feed_followers(source.feed) == 1; });
     write("servers/a", "draining", 6);
     write("servers/b", "ready", 8);
     EXPECT_TRUE(run_until([this] { return follower.views == 1; }));
-    EXPECT_EQ(follower.known, 8U);
+    EXPECT_EQ(follower.revision, 8U);
     EXPECT_EQ(follower.items.size(), 2U);
     EXPECT_EQ(follower.lost, 0U);
 }
 
-TEST_F(DirectoryFollow, OneThatFollowsItselfCanNotBeFollowed) {
+TEST_F(DirectoryFollow, AFollowingGatewayRefusesFollowers) {
     write("servers/a", "ready", 5);
-    source.watching = false;
+    source.followable = false;
     directory_follow_begin(follow, &address, DIRECTORY_AVOID_MS);
     EXPECT_TRUE(run_until([this] { return follower.lost == 1; }));
 }
 
-TEST_F(DirectoryFollow, ASourceThatBeginsToFollowLetsItsFollowersGo) {
+TEST_F(DirectoryFollow, ASourceThatStartsToFollowDropsItsFollowers) {
     write("servers/a", "ready", 5);
     ASSERT_TRUE(begin());
-    source.watching = false;
-    directory_feed_note(source.feed, nullptr);
+    source.followable = false;
+    directory_feed_notify(source.feed, nullptr);
     EXPECT_TRUE(run_until([this] { return follower.lost == 1; }));
 }
 
-// A listing of 10,000 back ends takes seconds: followers that heard nothing meanwhile all listed
-// themselves, and a configuration, which stands first, came into force only at its end.
-TEST_F(DirectoryFollow, WhileTheSourceListsItTellsWhatItSeesButNotThatNothingIsMissing) {
+// Guards against followers that time out during a long listing and list the service themselves, and
+// against a configuration that is delayed until its end.
+TEST_F(DirectoryFollow, AListingSourceSendsChangesWithoutAdvancingTheRevision) {
     write("servers/a", "ready", 5);
     write("servers/b", "ready", 5);
     ASSERT_TRUE(begin());
-    source.known = 0;
+    source.revision = 0;
     source.answer_age = 100;
     key_value_item_t item = {const_cast<char *>("servers/b"), nullptr, 9};
-    directory_feed_note(source.feed, &item);
+    directory_feed_notify(source.feed, &item);
     EXPECT_TRUE(run_until([this] { return follower.items.size() == 1; }));
-    EXPECT_EQ(follower.known, 5U);
-    EXPECT_LT(directory_follow_answer_age(follow), 100U + patience_ms);
+    EXPECT_EQ(follower.revision, 5U);
+    EXPECT_LT(directory_follow_answer_age(follow), 100U + timeout_ms);
     run_until([this] { return follower.lost > 0; });
-    EXPECT_EQ(follower.lost, 0U) << "the source is there";
-    EXPECT_EQ(follower.known, 5U);
-    source.known = 9;
-    directory_feed_note(source.feed, nullptr);
-    EXPECT_TRUE(run_until([this] { return follower.known == 9; }));
+    EXPECT_EQ(follower.lost, 0U) << "the source is alive";
+    EXPECT_EQ(follower.revision, 5U);
+    source.revision = 9;
+    directory_feed_notify(source.feed, nullptr);
+    EXPECT_TRUE(run_until([this] { return follower.revision == 9; }));
     EXPECT_EQ(follower.views, 1U);
 }
 
--- a/tests/unit/zone_loads_test.cc
+++ b/tests/unit/zone_loads_test.cc
@@ -1,4 +1,4 @@
-// Loads told between zones: who tells whom, and what counts.
+// Loads exchanged between zones: which gateways exchange them, and which reports count.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -24,9 +24,11 @@
     return address;
 }
 
-/** What storage nodes tell a gateway of @p zone: its own zone's gateways, and the others as such.
+/**
+ * The gateways that storage nodes list to one of @p zone: its own zone's by address, and remote
+ * ones.
  */
-GPtrArray *told(const std::vector<unsigned> &zones, unsigned zone) {
+GPtrArray *listed_gateways(const std::vector<unsigned> &zones, unsigned zone) {
     GPtrArray *texts = g_ptr_array_new_with_free_func(g_free);
     for (unsigned other = 0; other < zones.size(); other++)
         for (unsigned i = 0; i < zones[other]; i++) {
@@ -39,7 +41,7 @@
     return texts;
 }
 
-TEST(FarGateway, IsReadBackAndIsNoAddressToEarlierVersions) {
+TEST(RemoteGateway, TextIsParsedBackAndIsNoSocketAddress) {
     char *text = far_gateway_format("north a", "10.1.2.3:77");
     char *zone = nullptr;
     struct sockaddr_in address;
@@ -79,11 +81,11 @@
         return static_cast<backend_t *>(g_hash_table_lookup(backends.by_instance, name));
     }
     void set(const std::vector<unsigned> &zones, unsigned zone, unsigned index) {
-        GPtrArray *texts = told(zones, zone);
+        GPtrArray *texts = listed_gateways(zones, zone);
         zone_loads_set_gateways(&loads, texts, index, zones[zone]);
         g_ptr_array_free(texts, TRUE);
     }
-    bool take(unsigned zone, unsigned gateway, uint32_t calls, uint64_t now) {
+    bool receive(unsigned zone, unsigned gateway, uint32_t calls, uint64_t now) {
         GArray *entries = g_array_new(FALSE, FALSE, sizeof(load_entry_t));
         load_entry_t entry = {backend("i-a")->id_hash, calls, 0};
         g_array_append_val(entries, entry);
@@ -92,14 +94,14 @@
         struct sockaddr_in from = parse(address_of(zone, gateway));
         gsize length;
         const void *data = g_bytes_get_data(bytes, &length);
-        bool taken = zone_loads_take(&loads, &from, data, length, now);
+        bool accepted = zone_loads_receive(&loads, &from, data, length, now);
         g_bytes_unref(bytes);
         g_array_free(entries, TRUE);
-        return taken;
+        return accepted;
     }
-    unsigned known(uint64_t now) {
+    unsigned remote_calls(uint64_t now) {
         backend("i-a")->elsewhere = 0;
-        zone_loads_add(&loads, &backends, now);
+        zone_loads_add_remote(&loads, &backends, now);
         return backend("i-a")->elsewhere;
     }
     uv_loop_t loop;
@@ -107,11 +109,11 @@
     zone_loads_t loads = {};
 };
 
-// 52 gateways in zones of unlike size: each is told by some gateway of each other zone, and tells
-// few.
-TEST_F(ZoneLoads, EachGatewayIsToldByEachOtherZone) {
+// 52 gateways in zones of different sizes: each receives loads from every other zone, and sends to
+// few gateways.
+TEST_F(ZoneLoads, EachGatewayExchangesLoadsWithEachOtherZone) {
     const std::vector<unsigned> zones = {14, 14, 12, 3, 9};
-    std::map<std::string, std::set<unsigned>> told_by;
+    std::map<std::string, std::set<unsigned>> receiving_zones;
     size_t pairs = 0;
     for (unsigned zone = 0; zone < zones.size(); zone++)
         for (unsigned index = 0; index < zones[zone]; index++) {
@@ -119,56 +121,56 @@
             pairs += loads.gateways->len;
             for (unsigned other = 0; other < zones.size(); other++)
                 for (unsigned i = 0; i < zones[other]; i++)
-                    if (take(other, i, 1, 1))
-                        told_by[address_of(other, i)].insert(zone);
+                    if (receive(other, i, 1, 1))
+                        receiving_zones[address_of(other, i)].insert(zone);
         }
     for (unsigned zone = 0; zone < zones.size(); zone++)
         for (unsigned i = 0; i < zones[zone]; i++)
-            EXPECT_EQ(told_by[address_of(zone, i)].size(), zones.size() - 1);
+            EXPECT_EQ(receiving_zones[address_of(zone, i)].size(), zones.size() - 1);
     EXPECT_LE(pairs, 2U * 52 * 4) << "all pairs would be " << 52 * 40;
 }
 
-TEST_F(ZoneLoads, OfAZoneTheSumThatWasHeardLastCounts) {
+TEST_F(ZoneLoads, TheLatestReportOfAZoneCounts) {
     set({2, 4, 2}, 0, 0);
-    EXPECT_TRUE(take(1, 0, 10, 1000));
-    EXPECT_TRUE(take(1, 2, 12, 1050));
-    EXPECT_FALSE(take(1, 1, 99, 1060)) << "it is no counterpart";
-    EXPECT_TRUE(take(2, 0, 5, 1060));
-    EXPECT_EQ(known(1100), 17U);
-    EXPECT_TRUE(take(1, 0, 3, 1100));
-    EXPECT_EQ(known(1110), 8U);
+    EXPECT_TRUE(receive(1, 0, 10, 1000));
+    EXPECT_TRUE(receive(1, 2, 12, 1050));
+    EXPECT_FALSE(receive(1, 1, 99, 1060)) << "not a counterpart";
+    EXPECT_TRUE(receive(2, 0, 5, 1060));
+    EXPECT_EQ(remote_calls(1100), 17U);
+    EXPECT_TRUE(receive(1, 0, 3, 1100));
+    EXPECT_EQ(remote_calls(1110), 8U);
 }
 
-TEST_F(ZoneLoads, AZoneThatIsCutOffIsForgotten) {
+TEST_F(ZoneLoads, TheReportOfAnIsolatedZoneExpires) {
     set({2, 2}, 0, 0);
-    EXPECT_TRUE(take(1, 0, 10, 1000));
-    EXPECT_EQ(known(1900), 10U);
-    EXPECT_EQ(known(2100), 0U);
+    EXPECT_TRUE(receive(1, 0, 10, 1000));
+    EXPECT_EQ(remote_calls(1900), 10U);
+    EXPECT_EQ(remote_calls(2100), 0U);
 }
 
-TEST_F(ZoneLoads, WhatWasToldOutlivesANewList) {
+TEST_F(ZoneLoads, ReportsAreKeptWhenTheListChanges) {
     set({2, 4}, 0, 0);
-    EXPECT_TRUE(take(1, 0, 10, 1000));
+    EXPECT_TRUE(receive(1, 0, 10, 1000));
     set({2, 3}, 0, 0);
-    EXPECT_EQ(known(1100), 10U);
+    EXPECT_EQ(remote_calls(1100), 10U);
 }
 
-TEST_F(ZoneLoads, WhatWasToldOfTheLifeBeforeCountsNoMore) {
+TEST_F(ZoneLoads, ReportsOfThePreviousIncarnationAreIgnored) {
     set({2, 2}, 0, 0);
-    EXPECT_TRUE(take(1, 0, 10, 1000));
-    EXPECT_EQ(known(1100), 10U);
+    EXPECT_TRUE(receive(1, 0, 10, 1000));
+    EXPECT_EQ(remote_calls(1100), 10U);
     backend("i-a")->life_at = 1001;
-    EXPECT_EQ(known(1100), 0U);
-    EXPECT_TRUE(take(1, 0, 3, 1050));
-    EXPECT_EQ(known(1100), 3U);
+    EXPECT_EQ(remote_calls(1100), 0U);
+    EXPECT_TRUE(receive(1, 0, 3, 1050));
+    EXPECT_EQ(remote_calls(1100), 3U);
 }
 
-TEST_F(ZoneLoads, BytesThatAreNoReportCountAsNothing) {
+TEST_F(ZoneLoads, AMalformedReportCountsAsEmpty) {
     set({2, 2}, 0, 0);
-    EXPECT_TRUE(take(1, 0, 10, 1000));
+    EXPECT_TRUE(receive(1, 0, 10, 1000));
     struct sockaddr_in from = parse(address_of(1, 0));
-    EXPECT_TRUE(zone_loads_take(&loads, &from, "?", 1, 1001));
-    EXPECT_EQ(known(1002), 0U);
+    EXPECT_TRUE(zone_loads_receive(&loads, &from, "?", 1, 1001));
+    EXPECT_EQ(remote_calls(1002), 0U);
 }
 
 } // namespace
