--- a/tests/unit/control_traffic_test.cc
+++ b/tests/unit/control_traffic_test.cc
@@ -258,7 +258,7 @@
         Figures &figures = fleet.store;
         unsigned members = store_group_size(tolerated_losses);
         size_t view = size_of(directory_snapshot_encode(&snapshot));
-        /* Each gateway requests the view from one member; each member sends it its list. */
+        /* Each gateway requests the view from one member; every member sends it a list. */
         figures.start_bytes = list_bytes + fleet.gateways / members * view;
         figures.state_bytes = view;
         size_t max_bytes = 0;
