--- a/src/gateway/directory_duty.c
+++ b/src/gateway/directory_duty.c
@@ -23,12 +23,12 @@
     PEER_REPORT_EXPIRY_MS = 1000, /**< Older reports of peers are ignored. */
     /**
      * Time after a failure of the service during which a gateway with the watch role may follow
-     * another one before it tries the service again,
+     * another one instead of trying the service again.
      */
     SERVICE_RETRY_MS = 2000,
-    SERVICE_RETRY_PROBED_MS = 10000, /**< and the same if enough others probe the service. */
-    SOURCE_RETRY_MS = 300, /**< Delay before another source is tried; doubled with each refusal, */
-    SOURCE_RETRY_DOUBLINGS_MAX = 4, /**< up to this many times. */
+    SERVICE_RETRY_PROBED_MS = 10000, /**< The same, if enough others probe the service. */
+    SOURCE_RETRY_MS = 300, /**< Delay before another source is tried; doubled with each refusal. */
+    SOURCE_RETRY_DOUBLINGS_MAX = 4, /**< Maximum number of doublings. */
     /**
      * A gateway with the watch role gets a response every WATCH_WAIT_RENEWING_MS; after a longer
      * time without one changes may be missing.
@@ -236,7 +236,8 @@
     struct sockaddr_in other;
     uint64_t heard_at;
     bool below = gateway->sources->len > 0;
-    if (follows_root_cell(gateway)) /* A gateway no longer first in its cell may continue. */
+    /* Without the role, it may continue until a gateway of its own cell can be followed. */
+    if (follows_root_cell(gateway))
         return rests && load_sharing_find_source(gateway->load_sharing, 0, &other);
     if (below && !rests)
         return true;
@@ -271,7 +272,7 @@
     }
 }
 
-/** True if another gateway can be followed that may have more than the current source. */
+/** True if another gateway can be followed that may have changes that the current source lacks. */
 static bool has_other_source(const gateway_t *gateway, bool rests, uint64_t changed) {
     struct sockaddr_in other;
     if (gateway->sources->len > 0 && !rests)
@@ -353,7 +354,7 @@
         own->begun_at = now;
 }
 
-/** Leaves a source whose own watch fails at once: the next one may be working. */
+/** Leaves a source as soon as it reports that its view is unconfirmed: the next may be usable. */
 static void leave_unconfirmed_source(gateway_t *gateway) {
     if (!has_root_cell_view(gateway) || directory_follow_answer_age(gateway->follow) != UINT32_MAX)
         return;
--- a/src/gateway/directory_feed.c
+++ b/src/gateway/directory_feed.c
@@ -33,7 +33,7 @@
     return state;
 }
 
-/** The complete view; one without a directory makes followers leave. */
+/** Encodes the complete view; a message without a directory makes followers leave. */
 static GBytes *encode_all(const directory_feed_state_t *state) {
     message_t message;
     message_init(&message, MESSAGE_DIRECTORY);
@@ -91,7 +91,7 @@
     return bytes;
 }
 
-/** The first message: keeps the follower from timing out while a large view is sent. */
+/** Encodes the first message, which prevents a timeout of the follower during a large view. */
 static GBytes *encode_accepted(const directory_feed_state_t *state) {
     message_t message;
     message_init(&message, MESSAGE_DIRECTORY_KNOWN);
--- a/src/gateway/directory_follow.c
+++ b/src/gateway/directory_follow.c
@@ -12,8 +12,8 @@
      * retransmits only after a second.
      */
     CONNECT_MS = 300,
-    ACCEPT_MS = 500, /**< Timeout for the source to accept, */
-    VIEW_MS = 8000,  /**< and for its view, which shares the source's link with others. */
+    ACCEPT_MS = 500, /**< Timeout for the source to accept. */
+    VIEW_MS = 8000, /**< Timeout for the source's view, which shares its link with other traffic. */
     REFUSED_PAUSE_MIN_MS = 300, /**< Minimum pause after a refusal. */
 };
 
@@ -27,12 +27,12 @@
     bool current;
     uint64_t requested_view; /**< Digest of this gateway's view as sent in the request. */
     uint64_t heard_at;
-    uint32_t answer_age; /**< As reported by the source at that time. */
+    uint32_t answer_age; /**< As reported by the source at heard_at. */
     uint64_t refused_pause_ms;
     uint64_t refused_at;
-    uint64_t pause_until;       /**< No source is followed before, after a refusal. */
-    struct sockaddr_in avoided; /**< The source that failed last, */
-    uint64_t avoided_until;     /**< which is not followed before this time. */
+    uint64_t pause_until;       /**< After a refusal, no source is followed before this time. */
+    struct sockaddr_in avoided; /**< The source that failed last. */
+    uint64_t avoided_until;     /**< `avoided` is not followed before this time. */
 };
 
 static bool same_address(const struct sockaddr_in *a, const struct sockaddr_in *b) {
@@ -127,7 +127,7 @@
     return true;
 }
 
-/** Handles a response without a view: false if this gateway's view has changed since. */
+/** Handles a response without a view; false if this gateway's own has changed meanwhile. */
 static bool handle_same_view(directory_follow_t *follow, const message_t *message) {
     if (follow->requested_view == 0 ||
         follow->requested_view != follow->handler->view_digest(follow->owner))
--- a/src/gateway/directory_watch.c
+++ b/src/gateway/directory_watch.c
@@ -21,11 +21,11 @@
 #include <string.h>
 
 enum {
-    DIRECTORY_CHECK_INTERVAL_MS = 20, /**< At startup, until the directory is known. */
-    OFFER_SETTLE_MS = 2000,           /**< In the role, until the others have reported. */
-    OFFER_INTERVAL_MIN_MS = 1000,     /**< Between two offers to storage nodes, */
-    OFFER_INTERVAL_MAX_MS = 3000,     /**< and at most: an earlier recipient may have failed. */
-    GROUP_WAIT_MS = 25000,            /**< Wait time of one watch of the group's key. */
+    DIRECTORY_CHECK_INTERVAL_MS = 20, /**< Until directory and store group are known. */
+    OFFER_SETTLE_MS = 2000,           /**< Time in the role before offers: peers report first. */
+    OFFER_INTERVAL_MIN_MS = 1000,     /**< Minimum time between two offers to storage nodes. */
+    OFFER_INTERVAL_MAX_MS = 3000,     /**< Maximum time: an earlier recipient may have failed. */
+    GROUP_WAIT_MS = 25000, /**< Maximum wait of one watch request for the store group's key. */
 };
 
 static void apply_configuration(gateway_t *gateway, const key_value_item_t *item) {
@@ -270,7 +270,7 @@
 static const key_value_watch_handler_t group_handler = {on_group_item, on_group_listed,
                                                         on_group_reachable};
 
-/** Watches for the group at startup; ends once it is known from any side. */
+/** Watches for the group at startup; ends once any source has provided it. */
 static void open_group_watch(gateway_t *gateway) {
     const process_settings_t *settings = gateway->settings;
     char *key = key_value_own_key("group");
@@ -288,10 +288,9 @@
 
 /* Directory stored by the storage nodes. */
 
-/** Applies an item of a stored directory. */
 static void apply_stored_item(void *owner, const char *key, GBytes *value) {
     gateway_t *gateway = owner;
-    /* What the service itself has sent is newer. */
+    /* An item received from the key-value service is newer than a stored one. */
     if (g_hash_table_contains(gateway->snapshot.items, key))
         return;
     key_value_item_t item = {.key = (char *)key, .value = value};
--- a/src/gateway/isolation.c
+++ b/src/gateway/isolation.c
@@ -7,7 +7,7 @@
  */
 #include "gateway/gateway.h"
 
-/** Between two checks for connections that have become idle. */
+/** Time between two checks for connections that have become idle. */
 enum { IDLE_CHECK_INTERVAL_MS = 100 };
 
 static void close_idle_connections(uv_timer_t *timer) {
--- a/src/gateway/load_report.c
+++ b/src/gateway/load_report.c
@@ -6,7 +6,7 @@
     PERIOD_MS = 60,
     PERIOD_EACH_MS = 3, /**< Added for each gateway. */
     CALM_FACTOR = 4,    /**< Multiplies the period while no back end is half full. */
-    SAMPLES_BITS = 8, /**< Low bits of `out_ms` in the entry of a speed; the others hold the age. */
+    SAMPLES_BITS = 8,   /**< Low bits of `out_ms` for the number of samples; the rest: age. */
     SAMPLES_MAX = 255,
     AGE_MAX_MS = 0xffffff,
 };
--- a/src/gateway/load_sharing.c
+++ b/src/gateway/load_sharing.c
@@ -20,15 +20,15 @@
 #include <string.h>
 
 enum {
-    REFRESH_MS = 400,              /**< Interval of reports without a change, */
-    IDLE_REFRESH_MS = 1000,        /**< and the same while there are no calls to report. */
+    REFRESH_MS = 400,              /**< Interval of reports without a change. */
+    IDLE_REFRESH_MS = 1000,        /**< The same, while there are no calls to report. */
     URGENT_INTERVAL_MIN_MS = 20,   /**< Between two urgent reports. */
-    RELAY_REPORT_EXPIRY_MS = 1500, /**< A relay must have reported within this. */
+    RELAY_REPORT_EXPIRY_MS = 1500, /**< Maximum age of the last report of a relay. */
     REPORT_EXPIRY_MS = 1000,       /**< The loads of an older report are ignored. */
-    INCARNATION_SETTLE_MS = 1000,  /**< By then all gateways know a back end's new incarnation. */
+    INCARNATION_SETTLE_MS = 1000,  /**< Time for a new incarnation to reach all gateways. */
     SOURCE_PERIODS = 2,         /**< One report may be lost before a source is considered dead. */
     SUM_INTERVAL_MS = 100,      /**< Sums are recomputed after this, because reports expire. */
-    CHANGE_CHECK_DELAY_MS = 20, /**< A change that a peer reported is mostly here by then. */
+    CHANGE_CHECK_DELAY_MS = 20, /**< Typical delay until a reported change arrives here too. */
 };
 
 typedef struct {
@@ -70,7 +70,7 @@
     return a->sin_port == b->sin_port && a->sin_addr.s_addr == b->sin_addr.s_addr;
 }
 
-static bool comes_before(const struct sockaddr_in *a, const struct sockaddr_in *b) {
+static bool address_precedes(const struct sockaddr_in *a, const struct sockaddr_in *b) {
     uint32_t host_a = ntohl(a->sin_addr.s_addr);
     uint32_t host_b = ntohl(b->sin_addr.s_addr);
     return host_a != host_b ? host_a < host_b : ntohs(a->sin_port) < ntohs(b->sin_port);
@@ -114,7 +114,7 @@
         if (backend->life_at > peer->heard_at)
             continue;
         backend->elsewhere += entry->under_way;
-        /* Before that, the report may be about the previous incarnation. */
+        /* An earlier report may be about the previous incarnation. */
         if (backend->life_at == 0 || peer->heard_at >= backend->life_at + INCARNATION_SETTLE_MS)
             ejection_note_told(&backend->ejection, peer->heard_at + entry->out_ms, now);
         g_hash_table_add(sharing->backends->told_of, backend);
@@ -198,7 +198,7 @@
         check_within(sharing, CHANGE_CHECK_DELAY_MS);
     if (watch.changed <= sharing->changed)
         return;
-    /* A change must not wait for the end of a period, which exceeds a second in a large cell. */
+    /* Checks early: in a large cell the reporting period exceeds a second. */
     sharing->changed = watch.changed;
     check_within(sharing, CHANGE_CHECK_DELAY_MS);
 }
@@ -378,7 +378,8 @@
     unsigned before = 0;
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *other = g_ptr_array_index(sharing->peers, i);
-        before += may_be_followed(sharing, other) && comes_before(&other->address, &peer->address);
+        before +=
+            may_be_followed(sharing, other) && address_precedes(&other->address, &peer->address);
     }
     return before;
 }
@@ -397,7 +398,7 @@
     unsigned found = 0;
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
-        /* Later ones will suspend their own watches. */
+        /* Peers after the first WATCH_RENEWING will suspend their own watches. */
         if (!may_be_followed(sharing, peer) || peer->watch.changed < changed ||
             sources_before(sharing, peer) >= WATCH_RENEWING)
             continue;
@@ -455,7 +456,7 @@
         peer->watch.rank = 0;
         for (guint j = 0; j < sharing->peers->len; j++) {
             const gateway_peer_t *other = g_ptr_array_index(sharing->peers, j);
-            peer->watch.rank += comes_before(&other->address, &peer->address);
+            peer->watch.rank += address_precedes(&other->address, &peer->address);
         }
     }
 }
@@ -471,7 +472,7 @@
             continue;
         gateway_peer_t *peer = g_new0(gateway_peer_t, 1);
         peer->address = address;
-        peer->watch.before = comes_before(&address, &sharing->own);
+        peer->watch.before = address_precedes(&address, &sharing->own);
         peer->entries = g_array_new(FALSE, TRUE, sizeof(load_entry_t));
         g_ptr_array_add(sharing->peers, peer);
         for (guint j = 0; j < old->len; j++) {
--- a/src/gateway/load_sharing.h
+++ b/src/gateway/load_sharing.h
@@ -42,7 +42,7 @@
 void load_sharing_watch_stores(load_sharing_t *sharing);
 /** Number of other gateways that come before this one by address. */
 unsigned load_sharing_rank(const load_sharing_t *sharing);
-/** Sums up the reported loads if they have changed; to be called before a back end is chosen. */
+/** Updates the loads of back ends from the latest reports; call before choosing a back end. */
 void load_sharing_refresh(load_sharing_t *sharing);
 /** Finds a gateway that recently reported that it reaches storage nodes; false: none did. */
 bool load_sharing_find_relay(const load_sharing_t *sharing, struct sockaddr_in *address);
--- a/src/gateway/zone_loads.c
+++ b/src/gateway/zone_loads.c
@@ -42,7 +42,7 @@
     return NULL;
 }
 
-/** By zone, then by address. */
+/** Orders gateways by zone, then by address. */
 static gint compare(gconstpointer a, gconstpointer b) {
     const remote_gateway_t *first = *(const remote_gateway_t *const *)a;
     const remote_gateway_t *second = *(const remote_gateway_t *const *)b;
@@ -79,7 +79,7 @@
     return end - begin;
 }
 
-/** Adds a counterpart, with its last report if it was one before. */
+/** Adds a counterpart; keeps its last report if it is already among those in @p before. */
 static void add_counterpart(zone_loads_t *loads, const GPtrArray *before,
                             const remote_gateway_t *listed) {
     remote_gateway_t *gateway = g_new0(remote_gateway_t, 1);
@@ -122,7 +122,7 @@
     return true;
 }
 
-/** True if no other gateway of its zone reported later; of equals the first counts. */
+/** True if no other gateway of its zone reported later; ties go to the first one. */
 static bool is_latest(const zone_loads_t *loads, guint index) {
     const remote_gateway_t *gateway = g_ptr_array_index(loads->gateways, index);
     for (guint i = 0; i < loads->gateways->len; i++) {
--- a/src/gateway/zone_loads.h
+++ b/src/gateway/zone_loads.h
@@ -19,7 +19,7 @@
 
 typedef struct {
     GPtrArray *gateways; /**< Counterparts, of remote_gateway_t. */
-    GHashTable *sums;    /**< Of this zone, while summed up: back end's hash to load_entry_t. */
+    GHashTable *sums;    /**< This zone's calls in progress: back end's hash to load_entry_t. */
     bool sent_any;       /**< The last sums sent were not empty. */
 } zone_loads_t;
 
@@ -35,9 +35,9 @@
                         size_t length, uint64_t now);
 /** Adds the loads that other zones reported to those of @p backends. */
 void zone_loads_add_remote(const zone_loads_t *loads, backends_t *backends, uint64_t now);
-/** Adds to this zone's sums, which are sent next. */
+/** Adds the loads in @p entries to this zone's sums, which zone_loads_send sends. */
 void zone_loads_add_local(zone_loads_t *loads, backends_t *backends, const GArray *entries);
-/** Sends the sums to the counterparts and resets them. */
+/** Sends this zone's sums of calls in progress to the counterparts and resets them. */
 void zone_loads_send(zone_loads_t *loads, uv_udp_t *socket);
 
 #endif
