--- a/src/gateway/backend_paces.h
+++ b/src/gateway/backend_paces.h
@@ -1,16 +1,16 @@
 /**
  * @file backend_paces.h
- * How fast the back ends work, as this gateway and the others measure it: see
- * core/routing/backend_speed.h. Only back ends that tell when they started are measured.
+ * Speeds of back ends, measured by this gateway and merged with the measurements of the others: see
+ * core/routing/backend_speed.h. Only back ends that report a start time are measured.
  *
- * An engine's unit of work is an event of its stream, from the first one on, so that neither the
- * length of the prompt nor the wait for a slot counts. Another back end's is an answer against the
- * usual one of the call's route here, so that a slow route isn't taken for a slow back end.
+ * An engine's unit of work is an event of its stream, from the first one on, which excludes prompt
+ * processing and queueing. That of any other back end is a response time divided by the median of
+ * the route at this gateway, so that a slow route does not make its back ends appear slow.
  *
- * What is new since it was last told goes to the other gateways in the datagrams that they get
- * anyway, a few back ends in each, by turns. It stands there under an id made of the back end and
- * its life: versions that know no paces, and gateways that know another life, find no such back end
- * and skip it. A gateway that is lost leaves paces that fade; nothing is ever asked for again.
+ * New measurements are sent to the other gateways in the load-sharing datagrams, a few back ends in
+ * each, round robin. An entry's id is a hash of back end and incarnation: versions without support
+ * for speeds, and gateways that have another incarnation, find no such back end and skip the entry.
+ * Entries are never requested again; those of a failed gateway expire.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -20,32 +20,32 @@
 #include "gateway/backends.h"
 #include "gateway/load_report.h"
 
-/** What one gateway tells all others of paces. */
+/** Limit of the bytes per second that a gateway sends to all others for speeds. */
 enum { BACKEND_PACES_BYTES_A_S = 1000 };
 
-typedef struct backend_paces backend_paces_t;
+typedef struct backend_speeds backend_speeds_t;
 
-/** How many back ends are measured, and how many of them are far from typical. */
+/** Number of measured back ends, and of those that deviate widely from the typical speed. */
 typedef struct {
     unsigned measured;
     unsigned slow; /**< Below half of the typical speed. */
     unsigned fast; /**< Above double. */
 } backend_pace_counts_t;
 
-backend_paces_t *backend_paces_new(void);
-void backend_paces_free(backend_paces_t *paces);
-/** A back end's record is new or has changed: others tell of it by its life's id from now on. */
-void backend_paces_list(backend_t *backend);
-/** Forgets all that was measured at a back end, and its id. */
-void backend_paces_forget(backend_t *backend);
-/** A call of @p route that was sent at @p sent_at is answered. */
+backend_speeds_t *backend_speeds_new(void);
+void backend_speeds_free(backend_speeds_t *speeds);
+/** A back end's record is new or has changed; a new incarnation discards all measurements. */
+void backend_speeds_update_record(backend_t *backend);
+/** Discards the measurements of a back end and its incarnation id. */
+void backend_speeds_remove(backend_t *backend);
+/** A call of @p route that was sent at @p sent_at has got its response. */
 void backend_paces_note_answer(backend_t *backend, const char *route, uint64_t sent_at);
-/** A stream that was sent at @p sent_at has made events, each in @p event_us on average. */
+/** A stream whose call was sent at @p sent_at generated events, one per @p event_us on average. */
 void backend_paces_note_stream(backend_t *backend, uint32_t event_us, uint64_t sent_at);
-/** Appends of load_entry_t what @p gateways others should hear now. */
+/** Appends the load_entry_t to send now to each of the @p gateways others. */
 void backend_paces_tell(backends_t *backends, GArray *entries, unsigned gateways);
-/** Takes what the gateway @p teller told; false if the entry is no pace of a known life. */
-bool backend_paces_note_told(backends_t *backends, const load_entry_t *entry, uint64_t teller);
+/** Records an entry of the gateway @p sender; false if no back end has its incarnation id. */
+bool backend_paces_note_told(backends_t *backends, const load_entry_t *entry, uint64_t sender);
 backend_pace_counts_t backend_paces_count(backends_t *backends);
 
 #endif
--- a/src/gateway/backend_probe.c
+++ b/src/gateway/backend_probe.c
@@ -4,8 +4,8 @@
 
 enum {
     FAILURES_NEEDED = 2,
-    UP_AFTER_MS = 250,    /**< A connection that is up by then shows a living back end. */
-    AGAIN_AFTER_MS = 500, /**< A back end that can be reached is asked again after this. */
+    CONFIRM_MS = 250, /**< A connection open for this long shows that the back end is reachable. */
+    PROBE_INTERVAL_MS = 500, /**< Time between the starts of two probes. */
 };
 
 static void on_probe_closed(void *owner, http_client_t *client);
@@ -18,9 +18,9 @@
 
 static void on_probe_closed(void *owner, http_client_t *client) {
     backend_t *backend = owner;
-    bool was_up = http_client_connected(client);
+    bool was_connected = http_client_connected(client);
     backend->probe = NULL;
-    if (was_up)
+    if (was_connected)
         return;
     backend->probe_failures++;
     if (backend->probe_failures < FAILURES_NEEDED) {
@@ -42,10 +42,10 @@
 
 void backend_probe(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
-    bool up = backend->probe != NULL && http_client_connected(backend->probe);
-    if (up && now >= backend->probed_at + UP_AFTER_MS)
+    bool connected = backend->probe != NULL && http_client_connected(backend->probe);
+    if (connected && now >= backend->probed_at + CONFIRM_MS)
         backend_probe_stop(backend);
-    if (backend->probe == NULL && now >= backend->probed_at + AGAIN_AFTER_MS)
+    if (backend->probe == NULL && now >= backend->probed_at + PROBE_INTERVAL_MS)
         open_probe(backend);
 }
 
--- a/src/gateway/backend_probe.h
+++ b/src/gateway/backend_probe.h
@@ -1,7 +1,7 @@
 /**
  * @file backend_probe.h
- * Whether a back end that says nothing can still be connected to. Two connections in a row that are
- * refused or do not come up mean that it can't; nothing is sent on them.
+ * Checks by connection attempts whether an unresponsive back end can still be reached. Two
+ * consecutive attempts that are refused or time out mean that it can't; no data is sent on them.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -10,11 +10,11 @@
 
 #include "gateway/backends.h"
 
-/** Begins to find out, unless that is under way or was found out just now. */
+/** Starts a probe, unless one is active or has finished recently. */
 void backend_probe(backend_t *backend);
-/** True if it was found unreachable at or after @p since, loop time in ms. */
+/** True if a probe failed at or after @p since, loop time in ms. */
 bool backend_unreachable_since(const backend_t *backend, uint64_t since);
-/** Ends what is under way. */
+/** Cancels an active probe. */
 void backend_probe_stop(backend_t *backend);
 
 #endif
--- a/src/gateway/backends.c
+++ b/src/gateway/backends.c
@@ -8,14 +8,14 @@
 #include <xxhash.h>
 
 enum {
-    OVERDUE_LEAST_MS = 400, /**< A call without a word of an answer is overdue after this, */
-    OVERDUE_TIMES = 5,      /**< or after so many times the usual. */
-    SILENT_MS = 300,        /**< A back end that is up says something within this. */
-    UNREACHABLE_MS = 1000,  /**< What a probe found counts for so long. */
-    OVERDUE_TOLD_MS = 600,  /**< The others hear of it for so long, and again while it lasts. */
-    SMOOTHING = 8,          /**< One answer moves the usual time by one part in so many. */
-    IDLE_MAXIMUM = 32,
-    SLOTS_USUAL = 12,
+    OVERDUE_MIN_MS = 400,  /**< A request without a response is overdue after this, */
+    OVERDUE_FACTOR = 5,    /**< or after this multiple of the average response time. */
+    UNRESPONSIVE_MS = 300, /**< A back end that sends no bytes for this long is unresponsive. */
+    UNREACHABLE_VALID_MS = 1000, /**< Validity of a failed probe. */
+    OVERDUE_REPORT_MS = 600,     /**< Reported ejection time; renewed while a request is overdue. */
+    SMOOTHING_DIVISOR = 8,       /**< EWMA weight of a response time is 1 / this. */
+    IDLE_CONNECTIONS_MAX = 32,
+    DEFAULT_SLOTS = 12,
 };
 
 static void free_members(gpointer data) {
@@ -36,34 +36,34 @@
     return members;
 }
 
-/** The count of those that tell their lives, or do not, as this record does; NULL: it leaves. */
-static unsigned *lives_count(service_members_t *members, const backend_record_t *record) {
+/** The counter of back ends with or without a start time for this record; NULL: it is leaving. */
+static unsigned *start_time_counter(service_members_t *members, const backend_record_t *record) {
     if (record->leaving)
         return NULL;
-    return record->born == 0 ? &members->lives_untold : &members->lives_told;
+    return record->born == 0 ? &members->without_start_time : &members->with_start_time;
 }
 
 static void add_to_index(backends_t *backends, backend_t *backend) {
     service_members_t *members = obtain_members(backends, backend->record->service);
-    unsigned *lives = lives_count(members, backend->record);
-    if (lives != NULL)
-        ++*lives;
+    unsigned *counter = start_time_counter(members, backend->record);
+    if (counter != NULL)
+        ++*counter;
     backend->near = strcmp(backend->record->zone, backends->zone) == 0;
     backend->list = backend->near ? members->near : members->far;
     backend->list_index = backend->list->len;
     g_ptr_array_add(backend->list, backend);
 }
 
-/** The last of the list takes its place. */
-static void drop_from_index(backend_t *backend) {
+/** Removes it from its list; the last element moves to its index. */
+static void remove_from_index(backend_t *backend) {
     backend_t *last = g_ptr_array_index(backend->list, backend->list->len - 1);
     last->list_index = backend->list_index;
     g_ptr_array_remove_index_fast(backend->list, backend->list_index);
     backend->list = NULL;
-    unsigned *lives =
-        lives_count(obtain_members(backend->owner, backend->record->service), backend->record);
-    if (lives != NULL)
-        --*lives;
+    unsigned *counter = start_time_counter(obtain_members(backend->owner, backend->record->service),
+                                           backend->record);
+    if (counter != NULL)
+        --*counter;
 }
 
 void backends_init(backends_t *backends, uv_loop_t *loop, const char *zone, const char *gateway) {
@@ -75,7 +75,7 @@
     backends->told_of = g_hash_table_new(NULL, NULL);
     backends->lapsed = g_hash_table_new(NULL, NULL);
     backends->used = g_hash_table_new(NULL, NULL);
-    backends->paces = backend_paces_new();
+    backends->speeds = backend_speeds_new();
     backends->seed = XXH64(gateway, strlen(gateway), 0);
     backends->connections_opened = 0;
     backends->changes = 0;
@@ -105,15 +105,15 @@
     unref(backend);
 }
 
-/** True if @p record is of another life than what was known; one that is not told is no other. */
-static bool is_new_life(const backend_t *backend, const backend_record_t *record) {
+/** True if @p record has a different start time; an unknown start time counts as unchanged. */
+static bool has_restarted(const backend_t *backend, const backend_record_t *record) {
     uint16_t before = backend_record_life(backend->record);
-    uint16_t life = backend_record_life(record);
-    return before != 0 && life != 0 && life != before;
+    uint16_t start = backend_record_life(record);
+    return before != 0 && start != 0 && start != before;
 }
 
-/** Forgets what was observed of the life before; calls that are still under way there end. */
-static void begin_life(backend_t *backend) {
+/** Discards the state of the previous incarnation; its active calls keep their references. */
+static void start_incarnation(backend_t *backend) {
     event_log(BACKEND_NEW_LIFE, backend->record->instance, backend->under_way,
               backend_speed(backend));
     backend->life_at = uv_now(backend->loop);
@@ -142,20 +142,20 @@
         g_hash_table_insert(backends->by_instance, record->instance, backend);
         g_hash_table_insert(backends->by_hash, &backend->id_hash, backend);
         add_to_index(backends, backend);
-        backend_paces_list(backend);
+        backend_speeds_update_record(backend);
         return;
     }
     backend->lapsed_until = 0;
     g_hash_table_remove(backends->lapsed, backend);
-    if (is_new_life(backend, record))
-        begin_life(backend);
-    drop_from_index(backend);
+    if (has_restarted(backend, record))
+        start_incarnation(backend);
+    remove_from_index(backend);
     g_hash_table_steal(backends->by_instance, record->instance);
     backend_record_free(backend->record);
     backend->record = record;
     g_hash_table_insert(backends->by_instance, record->instance, backend);
     add_to_index(backends, backend);
-    backend_paces_list(backend);
+    backend_speeds_update_record(backend);
     if (record->leaving)
         close_idle(backend);
 }
@@ -169,8 +169,8 @@
     g_hash_table_remove(backends->told_of, backend);
     g_hash_table_remove(backends->used, backend);
     g_hash_table_remove(backends->lapsed, backend);
-    backend_paces_forget(backend);
-    drop_from_index(backend);
+    backend_speeds_remove(backend);
+    remove_from_index(backend);
     backend->gone = true;
     close_idle(backend);
     unref(backend);
@@ -206,11 +206,11 @@
 }
 
 void backends_retain(backends_t *backends, GHashTable *instances) {
-    GList *known = g_hash_table_get_keys(backends->by_instance);
-    for (GList *item = known; item != NULL; item = item->next)
+    GList *instances_known = g_hash_table_get_keys(backends->by_instance);
+    for (GList *item = instances_known; item != NULL; item = item->next)
         if (!g_hash_table_contains(instances, item->data))
             backends_remove(backends, item->data);
-    g_list_free(known);
+    g_list_free(instances_known);
 }
 
 backend_t *backends_find_hash(const backends_t *backends, uint64_t id_hash) {
@@ -227,7 +227,7 @@
     g_hash_table_destroy(backends->told_of);
     g_hash_table_destroy(backends->lapsed);
     g_hash_table_destroy(backends->used);
-    backend_paces_free(backends->paces);
+    backend_speeds_free(backends->speeds);
     g_free(backends->zone);
 }
 
@@ -235,13 +235,13 @@
     return g_hash_table_size(backends->by_instance);
 }
 
-unsigned backend_slots(const backend_t *backend, unsigned usual) {
-    unsigned slots = backend->record->slots > 0 ? backend->record->slots : usual;
-    return slots > 0 ? slots : SLOTS_USUAL;
+unsigned backend_slots(const backend_t *backend, unsigned default_slots) {
+    unsigned slots = backend->record->slots > 0 ? backend->record->slots : default_slots;
+    return slots > 0 ? slots : DEFAULT_SLOTS;
 }
 
-/** True if half of the slots are taken of some of these, a set of backend_t. */
-static bool any_half_full(GHashTable *set) {
+/** True if a back end in @p set, of backend_t, has at least half of its slots occupied. */
+static bool any_half_occupied(GHashTable *set) {
     GHashTableIter iterator;
     gpointer key;
     g_hash_table_iter_init(&iterator, set);
@@ -254,14 +254,14 @@
 }
 
 bool backends_half_full(const backends_t *backends) {
-    return any_half_full(backends->told_of) || any_half_full(backends->used);
+    return any_half_occupied(backends->told_of) || any_half_occupied(backends->used);
 }
 
-/** True if some call has waited too long for the first word of its answer. */
-static bool overdue(backend_t *backend, uint64_t now) {
+/** True if the oldest unanswered request is overdue; logs when that begins. */
+static bool is_overdue(backend_t *backend, uint64_t now) {
     const uint64_t *oldest = g_queue_peek_head(&backend->unanswered);
-    uint64_t patience = MAX(OVERDUE_LEAST_MS, OVERDUE_TIMES * (uint64_t)backend->signs.answer_ms);
-    bool late = oldest != NULL && now > *oldest + patience;
+    uint64_t timeout = MAX(OVERDUE_MIN_MS, OVERDUE_FACTOR * (uint64_t)backend->signs.answer_ms);
+    bool late = oldest != NULL && now > *oldest + timeout;
     if (late && !backend->overdue)
         event_log(BACKEND_EJECTED, backend->record->instance, 0U, "overdue");
     backend->overdue = late;
@@ -270,26 +270,26 @@
 
 uint32_t backend_tell_out_ms(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
-    uint32_t told = ejection_tell_ms(&backend->ejection, now);
-    return overdue(backend, now) ? MAX(told, OVERDUE_TOLD_MS) : told;
+    uint32_t ejection_ms = ejection_tell_ms(&backend->ejection, now);
+    return is_overdue(backend, now) ? MAX(ejection_ms, OVERDUE_REPORT_MS) : ejection_ms;
 }
 
 bool backend_down(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
     bool unreachable = backend->unreachable_at > backend->signs.heard_at &&
-                       now < backend->unreachable_at + UNREACHABLE_MS;
-    bool silent = now > backend->signs.heard_at + SILENT_MS;
-    return unreachable || (silent && overdue(backend, now));
+                       now < backend->unreachable_at + UNREACHABLE_VALID_MS;
+    bool unresponsive = now > backend->signs.heard_at + UNRESPONSIVE_MS;
+    return unreachable || (unresponsive && is_overdue(backend, now));
 }
 
 bool backend_avoided(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
     return ejection_is_out(&backend->ejection, now) || backend_down(backend) ||
-           overdue(backend, now);
+           is_overdue(backend, now);
 }
 
-/** It is looked at when the other gateways are told, until there is nothing more to tell. */
-static void note_used(backend_t *backend) {
+/** Includes it in reports to the other gateways until there is nothing left to report. */
+static void mark_for_report(backend_t *backend) {
     if (!backend->gone)
         g_hash_table_add(backend->owner->used, backend);
     backend->owner->changes++;
@@ -298,7 +298,7 @@
 void backend_take(backend_t *backend) {
     backend->references++;
     backend->under_way++;
-    note_used(backend);
+    mark_for_report(backend);
 }
 
 void backend_send_begun(backend_t *backend, const uint64_t *sent_at) {
@@ -318,7 +318,8 @@
     if (backend->signs.answer_ms == 0)
         backend->signs.answer_ms = ms;
     else
-        backend->signs.answer_ms = (backend->signs.answer_ms * (SMOOTHING - 1) + ms) / SMOOTHING;
+        backend->signs.answer_ms =
+            (backend->signs.answer_ms * (SMOOTHING_DIVISOR - 1) + ms) / SMOOTHING_DIVISOR;
 }
 
 void backend_note_reset(backend_t *backend) {
@@ -326,9 +327,9 @@
     ejection_note_reset(&backend->ejection, now);
     event_log(BACKEND_EJECTED, backend->record->instance, ejection_tell_ms(&backend->ejection, now),
               "reset");
-    /* Kept connections to a back end that is down are dead as well. */
+    /* If the back end is down, its idle connections are dead as well. */
     close_idle(backend);
-    note_used(backend);
+    mark_for_report(backend);
 }
 
 static void on_idle_closed(void *owner, http_client_t *client) {
@@ -349,7 +350,7 @@
 
 void backend_keep(backend_t *backend, http_client_t *client) {
     bool keep = http_client_reusable(client) && !backend->gone && !backend->record->leaving &&
-                backend->idle->len < IDLE_MAXIMUM;
+                backend->idle->len < IDLE_CONNECTIONS_MAX;
     if (keep)
         g_ptr_array_add(backend->idle, client);
     else
--- a/src/gateway/backends.h
+++ b/src/gateway/backends.h
@@ -1,12 +1,12 @@
 /**
  * @file backends.h
- * The back ends that this gateway knows, what it has under way at each, and its kept connections
- * to them. Chooses the back end for a call.
+ * Table of the back ends in the directory, with this gateway's active calls and idle connections
+ * at each. Chooses the back end for a call.
  *
- * Choice (backend_choice.c). An engine is chosen as core/routing/engine_choice.h says, any other
- * back end as core/routing/service_choice.h does. Those of the gateway's own zone are looked at
- * first, and all of them only if those will not do: of 10,000 back ends in six zones a choice looks
- * at some hundreds, and the same holds of what is summed up and told.
+ * Choice (backend_choice.c): engines by core/routing/engine_choice.h, other back ends by
+ * core/routing/service_choice.h. Back ends of the local zone are considered first, and all of them
+ * only if none of those is suitable. Reports to other gateways cover only back ends with recent
+ * activity, so that neither a choice nor a report scales with the whole directory.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -23,39 +23,39 @@
 
 /** The back ends of one service. */
 typedef struct {
-    GPtrArray *near; /**< In the gateway's zone; of backend_t. */
-    GPtrArray *far;
-    engine_usual_t usual;  /**< Of its turns; engine_load.h. */
-    unsigned lives_told;   /**< Of those that don't leave, how many say when they were born, */
-    unsigned lives_untold; /**< and how many do not. */
-    uint64_t draws;        /**< Counts what was drawn. */
+    GPtrArray *near;             /**< In the gateway's zone; of backend_t. */
+    GPtrArray *far;              /**< In other zones; of backend_t. */
+    engine_usual_t usual;        /**< Running baseline of its turns; see engine_load.h. */
+    unsigned with_start_time;    /**< Back ends, except leaving ones, that report a start time, */
+    unsigned without_start_time; /**< and those that do not. */
+    uint64_t draws;              /**< Input of the random choice; incremented by each. */
 } service_members_t;
 
 typedef struct {
     backend_record_t *record;
-    GPtrArray *list; /**< Of service_members_t, in which it stands; NULL: it is gone. */
+    GPtrArray *list; /**< List of service_members_t that contains it; NULL: removed. */
     guint list_index;
-    bool near;             /**< In the gateway's zone. */
-    gint references;       /**< The table and the calls at this back end. */
-    bool gone;             /**< It left the directory. */
-    uint64_t lapsed_until; /**< Its entry is gone, but it is used until then; 0: it is there. */
-    uint64_t id_hash;      /**< Of the instance; names it among gateways. */
-    unsigned under_way;    /**< Calls of this gateway. */
-    unsigned elsewhere;    /**< Calls of the other gateways, as they last told. */
-    ejection_t ejection;   /**< Whether it seems to be down. */
-    bool told_out;         /**< Left out by what others told, when last looked at. */
-    uint64_t life_id;      /**< Hash of instance and life; 0: it does not tell its life. */
-    uint64_t life_at;      /**< When its life was found to be a new one; 0: never. */
-    struct backend_life_pace *pace; /**< See backend_paces.h; NULL: nothing is known. */
-    GQueue unanswered; /**< Sends without a word of an answer, oldest first: their times, ms. */
+    bool near;               /**< In the gateway's zone. */
+    gint references;         /**< Of the table, and of the calls at this back end. */
+    bool gone;               /**< Removed from the directory. */
+    uint64_t lapsed_until;   /**< End of the grace period of an expired entry; 0: entry present. */
+    uint64_t id_hash;        /**< Of the instance; its id in messages between gateways. */
+    unsigned under_way;      /**< Active calls of this gateway. */
+    unsigned elsewhere;      /**< Active calls of the other gateways, as last reported. */
+    ejection_t ejection;     /**< After connection resets, here or at other gateways. */
+    bool told_out;           /**< Ejected by reports of other gateways, at the latest check. */
+    uint64_t incarnation_id; /**< Hash of instance and start time; 0: it reports no start time. */
+    uint64_t life_at;        /**< When a restart was detected; 0: never. */
+    struct incarnation_speed *speed; /**< See backend_paces.h; NULL: not measured. */
+    GQueue unanswered; /**< Pointers to send times of requests without a response, oldest first. */
     backend_signs_t signs;
-    http_client_t *probe; /**< See backend_probe.h; NULL: none is under way. */
+    http_client_t *probe; /**< See backend_probe.h; NULL: none active. */
     uint64_t probed_at;
     unsigned probe_failures;
     uint64_t unreachable_at; /**< When it was last found unreachable; 0: never. */
-    engine_limit_t limit;    /**< Of an engine: when it turns calls away. */
-    bool overdue;            /**< The oldest of them is overdue, when last looked at. */
-    GPtrArray *idle;         /**< Kept connections, the latest used last; of http_client_t. */
+    engine_limit_t limit;    /**< Of an engine: load at which it refuses calls. */
+    bool overdue;            /**< The oldest unanswered request was overdue at the latest check. */
+    GPtrArray *idle;         /**< Idle connections, most recent last; of http_client_t. */
     uv_loop_t *loop;
     struct backends *owner;
 } backend_t;
@@ -66,78 +66,83 @@
     GHashTable *by_instance; /**< Of backend_t. */
     GHashTable *by_hash;     /**< Of backend_t. */
     GHashTable *by_service;  /**< Name to service_members_t. */
-    GHashTable *lapsed;      /**< Set of backend_t whose entries are gone, but that are used. */
-    GHashTable *used;        /**< Set of backend_t of which the others may have to be told. */
-    GHashTable *told_of;     /**< Set of backend_t of which others told something that counts. */
-    struct backend_paces *paces;
-    uint64_t seed; /**< This gateway's own; see core/routing/service_choice.h. */
+    GHashTable *lapsed;  /**< Set of backend_t in the grace period after their entries expired. */
+    GHashTable *used;    /**< Set of backend_t that may have to be reported to other gateways. */
+    GHashTable *told_of; /**< Set of backend_t with a report of other gateways in force. */
+    struct backend_speeds *speeds;
+    uint64_t seed; /**< Differs by gateway; see core/routing/service_choice.h. */
     uint64_t connections_opened;
-    uint64_t changes; /**< Counts beginnings and ends of calls. */
+    uint64_t changes; /**< Incremented when a call begins or ends. */
 } backends_t;
 
-/** What a choice depends on. */
 typedef struct {
     const char *service;
     const GPtrArray *excluded; /**< Back ends tried already; of backend_t. */
-    unsigned slots;            /**< Of an engine; 0: unknown. */
+    unsigned slots;            /**< Default for engines that don't report theirs; 0: unknown. */
 } backend_choice_t;
 
-/** @p gateway: this gateway's name; gives its order of equal back ends. */
+/** @p gateway: name of this gateway; seeds its order of otherwise equal back ends. */
 void backends_init(backends_t *backends, uv_loop_t *loop, const char *zone, const char *gateway);
-/** Forgets all back ends; none may have a call under way. */
+/** Frees the table; no back end may have an active call. */
 void backends_clear(backends_t *backends);
 /**
- * Takes over @p record as what is known of its instance now. If it has started again, all that was
- * observed of its life before is forgotten.
+ * Adds a back end or replaces its record; takes ownership of @p record. If the back end has
+ * restarted, all observations of its previous incarnation are discarded.
  */
 void backends_update(backends_t *backends, backend_record_t *record);
 void backends_remove(backends_t *backends, const char *instance);
-/** Its entry is gone; it is used until @p until, unless it was leaving. False: it is removed. */
+/**
+ * Its directory entry expired: keeps it until @p until, or removes it at once if it was leaving.
+ * False if it was removed or is unknown.
+ */
 bool backends_lapse(backends_t *backends, const char *instance, uint64_t until);
-/** Removes those whose entries have not come back in time; returns how many. */
+/** Removes those whose entries were not restored within the grace period; returns how many. */
 unsigned backends_expire_lapsed(backends_t *backends);
-/** Removes all whose instance is not in @p instances. */
+/** Removes all back ends whose instance is not in @p instances. */
 void backends_retain(backends_t *backends, GHashTable *instances);
 /** NULL if no back end has this hash. */
 backend_t *backends_find_hash(const backends_t *backends, uint64_t id_hash);
 unsigned backends_count(const backends_t *backends);
 
-/** Calls that a back end runs at once; @p usual if it does not say, 0: unknown. */
-unsigned backend_slots(const backend_t *backend, unsigned usual);
-/** Its speed in percent of what is typical of its service; 100 while too little is known. */
+/** Concurrent calls of a back end; @p default_slots if it reports none, 0: unknown. */
+unsigned backend_slots(const backend_t *backend, unsigned default_slots);
+/** Speed in percent of the typical one of its service; 100 while there are too few samples. */
 unsigned backend_speed(backend_t *backend);
-/** Usual time of its service's plain answers, in ms; 0: unknown, or nothing is known of it. */
+/** Median response time of its service's plain calls, in ms; 0: unknown or not measured. */
 unsigned backend_usual_answer_ms(const backend_t *backend);
-/** True if it can't be connected to, or owes an answer and says nothing at all. */
+/** True if it is unreachable, or a response is overdue and no bytes arrive for any call. */
 bool backend_down(backend_t *backend);
-/** True if it gets a call only if there is no other: it seems to be down, or is slow to answer. */
+/** True if it is a last resort only: ejected, down, or a response is overdue. */
 bool backend_avoided(backend_t *backend);
-/** True if some back end has half of its slots taken, as far as is known here. */
+/** True if at least half of the slots of some back end are known to be occupied. */
 bool backends_half_full(const backends_t *backends);
 
-/** The back end for a call, with a reference and counted under way; NULL if there is none. */
+/** Chooses a back end, takes a reference and counts the call as active; NULL if there is none. */
 backend_t *backends_choose(backends_t *backends, const backend_choice_t *choice);
-/** The engine for a call, as from backends_choose. */
+/** Like backends_choose, for engines. */
 backend_t *backends_choose_engine(backends_t *backends, const backend_choice_t *choice,
                                   const engine_request_t *request);
-/** Counts one more call at a back end that a call is at. */
+/** Takes a reference and counts a call as active. */
 void backend_take(backend_t *backend);
-/** Ends what backends_choose or backends_choose_engine began. */
+/** Counts the call as ended and drops its reference. */
 void backend_release(backend_t *backend);
-/** For how long the other gateways should hear that it is left out, in ms; 0: not at all. */
+/** Remaining ejection time to report to the other gateways, in ms; 0: not ejected. */
 uint32_t backend_tell_out_ms(backend_t *backend);
-/** A request is sent; @p sent_at stays where it is until the answer begins or the call gives up. */
+/**
+ * A request was sent. @p sent_at must stay valid until the response begins or backend_send_ended is
+ * called.
+ */
 void backend_send_begun(backend_t *backend, const uint64_t *sent_at);
-/** The answer begins. */
+/** The response to the request has begun. */
 void backend_send_answered(backend_t *backend, const uint64_t *sent_at);
-/** The call gives up waiting; nothing happens if the answer had begun. */
+/** The call stops waiting; no effect if the response has begun. */
 void backend_send_ended(backend_t *backend, const uint64_t *sent_at);
-/** Notes that a call's connection ended too soon for any work: the back end may be down. */
+/** A connection ended too soon after the send for any work: the back end may be down. */
 void backend_note_reset(backend_t *backend);
 
-/** A connection to use: a kept one if there is one. NULL if none can be opened. */
+/** Returns an idle connection, or else opens one; NULL if that fails. */
 http_client_t *backend_connect(backends_t *backends, backend_t *backend);
-/** Keeps a connection for the next call if it can be used again. */
+/** Takes a connection back: pools it if it is reusable, or else closes it. */
 void backend_keep(backend_t *backend, http_client_t *client);
 
 #endif
--- a/src/gateway/chain_cache.c
+++ b/src/gateway/chain_cache.c
@@ -7,7 +7,7 @@
     cache->limit = limit;
 }
 
-static void drop_oldest(chain_cache_t *cache) {
+static void evict_oldest(chain_cache_t *cache) {
     turn_t *turn = g_queue_pop_head(cache->recent);
     g_hash_table_remove(cache->entries, turn->id);
     cache->bytes -= turn_memory_bytes(turn);
@@ -17,7 +17,7 @@
 
 void chain_cache_clear(chain_cache_t *cache) {
     while (!g_queue_is_empty(cache->recent))
-        drop_oldest(cache);
+        evict_oldest(cache);
     g_hash_table_destroy(cache->entries);
     g_queue_free(cache->recent);
 }
@@ -31,7 +31,7 @@
     g_hash_table_insert(cache->entries, copy->id, g_queue_peek_tail_link(cache->recent));
     cache->bytes += turn_memory_bytes(copy);
     while (cache->bytes > cache->limit && g_queue_get_length(cache->recent) > 1)
-        drop_oldest(cache);
+        evict_oldest(cache);
 }
 
 const turn_t *chain_cache_find(chain_cache_t *cache, const char *id) {
--- a/src/gateway/chain_cache.h
+++ b/src/gateway/chain_cache.h
@@ -1,7 +1,7 @@
 /**
  * @file chain_cache.h
- * Turns that this gateway has seen lately, within a bound of memory. Turns never change, so what
- * is here is right; what is not must be read from the storage nodes.
+ * LRU cache of turns, bounded by memory. Turns are immutable, so cached ones are never stale;
+ * missing ones are read from the storage nodes.
  *
  * Thread safety: an object belongs to one thread.
  */
@@ -11,10 +11,10 @@
 #include "core/turns/turn_table.h"
 
 typedef struct {
-    GHashTable *entries; /**< Turn id to its place in the queue. */
-    GQueue *recent;      /**< Of turn_t, the least recently used first. */
+    GHashTable *entries; /**< Turn id to its link in the queue. */
+    GQueue *recent;      /**< Of turn_t, least recently used first. */
     uint64_t bytes;
-    uint64_t limit;
+    uint64_t limit; /**< In bytes. */
 } chain_cache_t;
 
 void chain_cache_init(chain_cache_t *cache, uint64_t limit);
@@ -23,8 +23,8 @@
 const turn_t *chain_cache_find(chain_cache_t *cache, const char *id);
 
 /**
- * Appends the prompt that turn @p previous and those before it make: of each, oldest first, its
- * input and output. If a turn is missing, appends nothing and returns its id.
+ * Appends the prompt made of turn @p previous and its ancestors: input and output of each, oldest
+ * first. Returns NULL, or the id of the first turn that is not cached; then nothing is appended.
  */
 const char *chain_cache_prompt(chain_cache_t *cache, const char *previous, GString *prompt);
 
--- a/src/gateway/engine_load.c
+++ b/src/gateway/engine_load.c
@@ -6,17 +6,17 @@
 
 bool backends_tell_lives(const backends_t *backends, const char *service) {
     const service_members_t *members = g_hash_table_lookup(backends->by_service, service);
-    return members != NULL && members->lives_told > 0 && members->lives_untold == 0;
+    return members != NULL && members->with_start_time > 0 && members->without_start_time == 0;
 }
 
-static engine_usual_t *usual_of(const backend_t *backend) {
+static engine_usual_t *service_baseline(const backend_t *backend) {
     service_members_t *members =
         g_hash_table_lookup(backend->owner->by_service, backend->record->service);
     return &members->usual;
 }
 
-/** Calls that it lets wait, as far as it has shown, or else as others of its service have. */
-static unsigned queue_of(const backend_t *backend, const engine_usual_t *usual, unsigned slots) {
+/** Observed queue length of the engine, or else that of its service. */
+static unsigned queue_limit(const backend_t *backend, const engine_usual_t *usual, unsigned slots) {
     unsigned own = engine_limit_queue(&backend->limit, backend_record_life(backend->record), slots);
     return own > 0 ? own : engine_usual_queue(usual, slots);
 }
@@ -27,7 +27,7 @@
     return (engine_state_t){
         .load = load,
         .slots = own_slots,
-        .queue = queue_of(backend, usual, own_slots),
+        .queue = queue_limit(backend, usual, own_slots),
         .speed_percent = backend_speed(backend),
         .turns_away = engine_limit_turns_away(&backend->limit, backend_record_life(backend->record),
                                               load, uv_now(backend->loop)),
@@ -39,24 +39,24 @@
     unsigned own_slots = backend_slots(backend, slots);
     engine_limit_note_refused(&backend->limit, backend_record_life(backend->record), load,
                               own_slots, uv_now(backend->loop));
-    engine_usual_note_refused(usual_of(backend), load, own_slots);
+    engine_usual_note_refused(service_baseline(backend), load, own_slots);
 }
 
-/** Where calls wait for a slot, their times are no measure of the engine. */
+/** Times of turns that queued for a slot are not used: they include the wait. */
 static bool had_slot(const backend_t *backend, unsigned load, unsigned slots) {
     return load < backend_slots(backend, slots);
 }
 
 void engine_load_note_first(backend_t *backend, unsigned load, unsigned slots, uint64_t ms,
-                            uint32_t again_tokens) {
+                            uint32_t repeated_tokens) {
     engine_limit_note_taken(&backend->limit, backend_record_life(backend->record), load);
-    engine_usual_note_taken(usual_of(backend), load, backend_slots(backend, slots));
+    engine_usual_note_taken(service_baseline(backend), load, backend_slots(backend, slots));
     if (had_slot(backend, load, slots))
-        engine_usual_note_first(usual_of(backend), (double)ms, again_tokens,
+        engine_usual_note_first(service_baseline(backend), (double)ms, repeated_tokens,
                                 backend_speed(backend));
 }
 
 void engine_load_note_turn(backend_t *backend, unsigned load, unsigned slots, uint64_t ms) {
     if (had_slot(backend, load, slots))
-        engine_usual_note_turn(usual_of(backend), (double)ms, backend_speed(backend));
+        engine_usual_note_turn(service_baseline(backend), (double)ms, backend_speed(backend));
 }
--- a/src/gateway/engine_load.h
+++ b/src/gateway/engine_load.h
@@ -1,11 +1,11 @@
 /**
  * @file engine_load.h
- * What this gateway learns of engines from the turns that it sends there, and the choice by cost
- * (core/routing/engine_placement.h) that uses it. Only for services whose back ends all say when
- * they were born: what is learned of an engine is of one life.
+ * Load, queue limits and baselines of engines, observed from the turns sent to them, and the
+ * placement by cost (core/routing/engine_placement.h) that uses them. Only for services whose back
+ * ends all report a start time, since observations are valid for one incarnation of an engine.
  *
- * Cost. A choice looks at all engines of the gateway's zone, as backends_choose_engine does, and at
- * no more than ENGINES_FAR_DRAWN of the other zones, drawn anew, when those won't do.
+ * A placement evaluates all engines of the local zone, and if none of those is suitable a random
+ * sample of at most ENGINES_FAR_DRAWN engines of other zones.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -17,26 +17,29 @@
 
 enum { ENGINES_FAR_DRAWN = 32 };
 
-/** True if all back ends of the service, but those that leave, say when they were born. */
+/** True if the service has back ends, and all but the leaving ones report a start time. */
 bool backends_tell_lives(const backends_t *backends, const char *service);
 /**
- * The engine for a turn, with a reference and counted under way; NULL: none, or all are full. Sets
- * of @p request what is known of the service's turns, and what is drawn.
+ * Chooses the engine for a turn, takes a reference and counts the turn as active; NULL: none, or
+ * all are full. Sets the turn baselines and the random bits of @p request.
  */
 backend_t *backends_place_engine(backends_t *backends, const backend_choice_t *choice,
                                  placement_request_t *request, placement_t *placement);
-/** Calls under way there, of all gateways as far as known. */
+/** Active calls of this gateway, and of the others as last reported. */
 unsigned backend_load(const backend_t *backend);
 
-/** What is known of an engine; @p usual of its service, @p slots if it does not say. */
+/** State of an engine; @p usual: baseline of its service, @p slots: default if it reports none. */
 engine_state_t engine_load_state(backend_t *backend, const engine_usual_t *usual, unsigned slots);
 
-/** The engine turned away a call that is still counted there. */
+/** The engine refused a call that is still counted as active. */
 void engine_load_note_refused(backend_t *backend, unsigned slots);
-/** The first event of a turn came, that was sent when @p load other calls were there. */
+/**
+ * The first event of a turn arrived after @p ms. @p load: other calls there when the turn was sent,
+ * @p repeated_tokens: tokens of the prompt that the engine has to process again.
+ */
 void engine_load_note_first(backend_t *backend, unsigned load, unsigned slots, uint64_t ms,
-                            uint32_t again_tokens);
-/** The turn ended well. */
+                            uint32_t repeated_tokens);
+/** The turn completed successfully after @p ms. */
 void engine_load_note_turn(backend_t *backend, unsigned load, unsigned slots, uint64_t ms);
 
 #endif
--- a/src/gateway/main.c
+++ b/src/gateway/main.c
@@ -1,4 +1,4 @@
-/** The gateway's program: settings, loop, signals, planned stop. */
+/** Entry point of the gateway process: settings, loop, signals, graceful shutdown. */
 #include "cluster/program.h"
 #include "common/event.h"
 #include "gateway/gateway.h"
@@ -8,31 +8,31 @@
 #include <stdlib.h>
 
 enum {
-    UPKEEP_MS = 100,
-    /* Steps of a planned stop, from the signal on. */
-    STOP_NOTICE_MS = 2300,    /**< Until then new connections come, and are served. */
-    STOP_REFUSE_MS = 3000,    /**< New calls are refused: they might not end in time. */
-    STOP_RESERVE_MS = 300,    /**< Left of the grace time when the process ends. */
-    CACHE_SHARE_PERCENT = 25, /**< Of the process's memory, for recent turns. */
+    STOP_CHECK_INTERVAL_MS = 100,
+    /* Phases of a graceful shutdown, as time since the signal. */
+    STOP_NOTICE_MS = 2300,    /**< New connections are still accepted and served until then. */
+    STOP_REFUSE_MS = 3000,    /**< New calls are refused: they might not complete in time. */
+    STOP_RESERVE_MS = 300,    /**< Remaining grace time at which the process exits. */
+    CACHE_SHARE_PERCENT = 25, /**< Of the process's memory, for the turn cache. */
     PERCENT = 100,
     MEGABYTE = 1024 * 1024,
 };
 
-/** Until a configuration says otherwise. */
-static const http_limits_t first_limits = {16384, 4 * MEGABYTE, 3000, 15000};
+/** In force until a configuration has been received. */
+static const http_limits_t default_limits = {16384, 4 * MEGABYTE, 3000, 15000};
 
-static void on_upkeep(uv_timer_t *timer) {
+static void on_stop_timer(uv_timer_t *timer) {
     gateway_t *gateway = timer->data;
     uint64_t since = uv_now(gateway->loop) - gateway->stopping_since;
-    bool noticed = since >= STOP_NOTICE_MS;
+    bool notice_over = since >= STOP_NOTICE_MS;
     gateway->refusing = since >= STOP_REFUSE_MS;
-    if (noticed) {
+    if (notice_over) {
         http_listener_stop(gateway->calls);
         http_listener_close_idle(gateway->calls);
     }
-    bool over = since + STOP_RESERVE_MS >= gateway->settings->grace_ms;
-    bool empty = noticed && http_listener_connections(gateway->calls) == 0;
-    if (over || empty)
+    bool grace_over = since + STOP_RESERVE_MS >= gateway->settings->grace_ms;
+    bool drained = notice_over && http_listener_connections(gateway->calls) == 0;
+    if (grace_over || drained)
         uv_stop(gateway->loop);
 }
 
@@ -45,9 +45,10 @@
     event_log(GATEWAY_STOPPING, number, http_listener_active(gateway->calls),
               http_listener_connections(gateway->calls));
     gateway_check_ready(gateway);
-    /* Callers learn from their answers that the connection ends, and come back elsewhere. */
+    /* Responses announce the close, so that callers reconnect to another gateway. */
     http_listener_close_after_answers(gateway->calls);
-    uv_timer_start(&gateway->upkeep, on_upkeep, UPKEEP_MS, UPKEEP_MS);
+    uv_timer_start(&gateway->stop_timer, on_stop_timer, STOP_CHECK_INTERVAL_MS,
+                   STOP_CHECK_INTERVAL_MS);
 }
 
 static bool find_relay(void *owner, struct sockaddr_in *address) {
@@ -88,7 +89,7 @@
     silence_watch_init(&gateway->silence_watch, gateway->loop);
     chain_cache_init(&gateway->chains,
                      settings->memory_megabytes * MEGABYTE * CACHE_SHARE_PERCENT / PERCENT);
-    gateway->calls = http_listener_open(gateway->loop, &settings->calls, &first_limits,
+    gateway->calls = http_listener_open(gateway->loop, &settings->calls, &default_limits,
                                         &call_listener_handler, gateway);
     return gateway->calls != NULL && gateway_open_reports(gateway);
 }
@@ -100,14 +101,15 @@
     gateway.started_at = uv_now(&loop);
     frame_loop_start(&loop);
     if (!open_gateway(&gateway)) {
-        event_log(NODE_FAILED, error_name(RUDDERWAY_ERROR_SYSTEM), "cannot listen");
+        event_log(NODE_FAILED, error_name(RUDDERWAY_ERROR_SYSTEM),
+                  "cannot listen on the peer, call, readiness or metrics address");
         return EXIT_FAILURE;
     }
     event_log(GATEWAY_STARTED, settings->name, settings->zone, RUDDERWAY_VERSION);
     program_signals_t signals;
     program_watch_signals(&signals, &loop, on_stop_signal, &gateway);
-    uv_timer_init(&loop, &gateway.upkeep);
-    gateway.upkeep.data = &gateway;
+    uv_timer_init(&loop, &gateway.stop_timer);
+    gateway.stop_timer.data = &gateway;
     gateway_watch_directory(&gateway);
     uv_run(&loop, UV_RUN_DEFAULT);
     event_log(GATEWAY_STOPPED, http_listener_active(gateway.calls));
--- a/src/gateway/reports.c
+++ b/src/gateway/reports.c
@@ -1,4 +1,4 @@
-/* Readiness for whoever passes connections on, and figures for operators. */
+/* Readiness endpoint for load balancers, and metrics for operators. */
 #include "gateway/gateway.h"
 
 #include "common/event.h"
@@ -16,25 +16,25 @@
     REPORT_HEADER_MS = 3000,
     REPORT_IDLE_MS = 60000,
     ISOLATED_AFTER_MS = 200,
-    STORES_AWAITED_MS = 5000, /**< A gateway without storage nodes in reach is ready after this. */
+    STORES_WAIT_MS = 5000, /**< A gateway that reaches no storage nodes is ready after this. */
 };
 
 static const http_limits_t report_limits = {REPORT_HEADER_BYTES, REPORT_BODY_BYTES,
                                             REPORT_HEADER_MS, REPORT_IDLE_MS};
 
 /**
- * The storage nodes alone count only until they were reached once: when they are lost, calls
+ * Once they were reached, losing the storage nodes alone does not make the gateway unready: calls
  * without a budget can still be served, and other gateways have most likely lost them too.
  */
 static bool stores_reached(gateway_t *gateway) {
-    bool waited = uv_now(gateway->loop) >= gateway->started_at + STORES_AWAITED_MS;
+    bool waited = uv_now(gateway->loop) >= gateway->started_at + STORES_WAIT_MS;
     gateway->stores_reached =
         gateway->stores_reached || waited || store_client_connected(gateway->stores);
     return gateway->stores_reached;
 }
 
-/** Notes when the storage nodes were lost, and asks the key-value service whether it is too. */
-static void look_at_stores(gateway_t *gateway) {
+/** Records when the quorum of storage nodes was lost, and then checks the key-value service. */
+static void update_store_state(gateway_t *gateway) {
     if (store_client_connected(gateway->stores)) {
         gateway->stores_lost_at = 0;
         return;
@@ -55,7 +55,7 @@
 }
 
 void gateway_check_ready(gateway_t *gateway) {
-    look_at_stores(gateway);
+    update_store_state(gateway);
     bool ready = gateway->configuration != NULL && gateway->backends_listed &&
                  stores_reached(gateway) && !gateway->stopping && !gateway_isolated(gateway);
     if (ready == gateway->ready)
@@ -81,8 +81,8 @@
     "kind=\"stream\"",
 };
 
-/** How old the view of the key-value service is, and since when a change is known to be missing. */
-static void append_directory_figures(const gateway_t *gateway, GString *text) {
+/** Age of the view of the key-value service, and for how long it is known to lack a change. */
+static void append_directory_metrics(const gateway_t *gateway, GString *text) {
     uint64_t behind_since = gateway->watch_state.behind_since;
     metrics_append(text, "directory_revision", gateway->snapshot.revision);
     metrics_append(text, "directory_age_ms", gateway_directory_age(gateway));
@@ -93,22 +93,22 @@
     metrics_append(text, "directory_followers", directory_feed_followers(gateway->feed));
 }
 
-static void append_speed_figures(gateway_t *gateway, GString *text) {
+static void append_speed_metrics(gateway_t *gateway, GString *text) {
     backend_pace_counts_t counts = backend_paces_count(&gateway->backends);
     metrics_append(text, "backends_measured", counts.measured);
     metrics_append(text, "backends_slow", counts.slow);
     metrics_append(text, "backends_fast", counts.fast);
 }
 
-static void append_figures(void *owner, GString *text) {
+static void append_metrics(void *owner, GString *text) {
     gateway_t *gateway = owner;
     const gateway_counters_t *counters = &gateway->counters;
     metrics_append(text, "ready", gateway->ready);
     metrics_append(text, "configuration_version",
                    gateway->configuration == NULL ? 0 : gateway->configuration->version);
-    append_directory_figures(gateway, text);
+    append_directory_metrics(gateway, text);
     metrics_append(text, "backends", backends_count(&gateway->backends));
-    append_speed_figures(gateway, text);
+    append_speed_metrics(gateway, text);
     metrics_append(text, "stores_connected", store_client_connected(gateway->stores));
     metrics_append(text, "zone_cut", gateway->zone_cut_since > 0);
     metrics_append(text, "store_relays", store_relay_count(gateway->relay));
@@ -145,12 +145,12 @@
                                  text);
 }
 
-static void on_gone(void *owner, http_caller_t *caller) {
+static void on_caller_disconnected(void *owner, http_caller_t *caller) {
     (void)owner;
     (void)caller;
 }
 
-static const http_listener_handler_t readiness_handler = {on_readiness, on_gone};
+static const http_listener_handler_t readiness_handler = {on_readiness, on_caller_disconnected};
 
 bool gateway_open_reports(gateway_t *gateway) {
     const process_settings_t *settings = gateway->settings;
@@ -158,5 +158,5 @@
                                             &readiness_handler, gateway);
     if (gateway->readiness == NULL)
         return false;
-    return metrics_page_open(&gateway->metrics, gateway->loop, settings, append_figures, gateway);
+    return metrics_page_open(&gateway->metrics, gateway->loop, settings, append_metrics, gateway);
 }
--- a/src/gateway/silence_watch.c
+++ b/src/gateway/silence_watch.c
@@ -3,21 +3,20 @@
 #include "gateway/backend_probe.h"
 #include "gateway/call.h"
 
-/** Time between two looks, in ms. */
-enum { LOOK_MS = 100 };
+enum { CHECK_INTERVAL_MS = 100 };
 
-static void look_at_call(call_t *call, uint64_t now) {
+static void check_call(call_t *call, uint64_t now) {
     backend_t *backend = call->backend;
     if (call_answer_is_late(call, now)) {
         call_lost_at_backend(call, "late");
         return;
     }
-    call_signs_t signs = {
+    call_signs_t call_state = {
         .sent_at = call->sent_at,
         .heard_at = call->heard_at,
         .answered = call->answered,
     };
-    switch (silence_judge(&signs, &backend->signs, now)) {
+    switch (silence_judge(&call_state, &backend->signs, now)) {
     case SILENCE_LOST:
         call_lost_at_backend(call, "overtaken");
         break;
@@ -32,13 +31,13 @@
     }
 }
 
-static void on_look(uv_timer_t *timer) {
+static void on_check(uv_timer_t *timer) {
     silence_watch_t *watch = timer->data;
     uint64_t now = uv_now(timer->loop);
-    /* From the last to the first: a call that is taken away leaves its place to a later one. */
+    /* Backwards: removing a call moves a later one, already checked, to its index. */
     for (guint i = watch->calls->len; i > 0; i--)
         if (i <= watch->calls->len)
-            look_at_call(g_ptr_array_index(watch->calls, i - 1), now);
+            check_call(g_ptr_array_index(watch->calls, i - 1), now);
     if (watch->calls->len == 0)
         uv_timer_stop(&watch->timer);
 }
@@ -52,7 +51,7 @@
 void silence_watch_add(silence_watch_t *watch, call_t *call) {
     g_ptr_array_add(watch->calls, call);
     if (!uv_is_active((uv_handle_t *)&watch->timer))
-        uv_timer_start(&watch->timer, on_look, LOOK_MS, LOOK_MS);
+        uv_timer_start(&watch->timer, on_check, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS);
 }
 
 void silence_watch_remove(silence_watch_t *watch, call_t *call) {
--- a/src/gateway/silence_watch.h
+++ b/src/gateway/silence_watch.h
@@ -1,8 +1,8 @@
 /**
  * @file silence_watch.h
- * Looks at the calls that wait for bytes from a back end, several times a second, and takes away
- * those that are lost there; see core/retry/silence.h. Only calls that may run more than once are
- * looked at: nothing can be done for the others.
+ * Periodically checks the calls that wait for bytes from a back end, and takes those that stall
+ * away from it; see core/retry/silence.h. Only repeatable calls are watched: others can't be
+ * resent.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -15,13 +15,13 @@
 struct call;
 
 typedef struct {
-    uv_timer_t timer; /**< Runs while there is a call. */
+    uv_timer_t timer; /**< Active while a call is watched. */
     GPtrArray *calls; /**< Of call_t. */
 } silence_watch_t;
 
 void silence_watch_init(silence_watch_t *watch, uv_loop_t *loop);
 void silence_watch_add(silence_watch_t *watch, struct call *call);
-/** Nothing happens if the call is not looked at. */
+/** No effect if the call is not watched. */
 void silence_watch_remove(silence_watch_t *watch, struct call *call);
 
 #endif
--- a/tests/unit/backend_paces_test.cc
+++ b/tests/unit/backend_paces_test.cc
@@ -1,8 +1,5 @@
-// What gateways measure at back ends and tell one another of it, over the datagrams that earlier
-// versions read and write; and what a new life of a back end makes of all that is known of it.
-//
-// The load that is played: two gateways with up to 60 back ends, ten calls at each; 3,300 gateways'
-// worth of bytes.
+// Measurement of back ends' speeds, their exchange between gateways in datagrams that earlier
+// versions can read, and the reset of all observations when a back end restarts.
 #include <glib.h>
 
 extern "C" {
@@ -24,10 +21,10 @@
 
 namespace {
 
-constexpr uint64_t first_life = 1764700000000;
-constexpr uint64_t second_life = 1764700031234;
+constexpr uint64_t first_start = 1764700000000;
+constexpr uint64_t second_start = 1764700031234;
 
-/** One gateway's back ends, in the time of its loop. */
+/** Back ends of one gateway, with a loop of its own. */
 class Gateway {
   public:
     explicit Gateway(const char *name) {
@@ -55,28 +52,28 @@
         return static_cast<backend_t *>(
             g_hash_table_lookup(backends.by_instance, instance.c_str()));
     }
-    /** Streams whose events take @p event_us come to an end there. */
+    /** Records streams whose events take @p event_us. */
     void measure(const std::string &instance, uint32_t event_us, unsigned streams) {
         for (unsigned i = 0; i < streams; i++)
             backend_paces_note_stream(find(instance), event_us, uv_now(&loop));
     }
-    /** What stands in the next datagrams to @p gateways others. */
-    std::vector<load_entry_t> tell(unsigned gateways) {
+    /** Entries of the next datagrams to @p gateways others. */
+    std::vector<load_entry_t> report(unsigned gateways) {
         GArray *entries = g_array_new(FALSE, FALSE, sizeof(load_entry_t));
         backend_paces_tell(&backends, entries, gateways);
         auto *first = reinterpret_cast<load_entry_t *>(entries->data);
-        std::vector<load_entry_t> told(first, first + entries->len);
+        std::vector<load_entry_t> reported(first, first + entries->len);
         g_array_free(entries, TRUE);
-        return told;
+        return reported;
     }
     unsigned speed(const std::string &instance) {
         return backend_speed(find(instance));
     }
-    unsigned hear(const std::vector<load_entry_t> &told, uint64_t teller) {
-        unsigned heard = 0;
-        for (const load_entry_t &entry : told)
-            heard += backend_paces_note_told(&backends, &entry, teller) ? 1 : 0;
-        return heard;
+    unsigned receive(const std::vector<load_entry_t> &reported, uint64_t sender) {
+        unsigned accepted = 0;
+        for (const load_entry_t &entry : reported)
+            accepted += backend_paces_note_told(&backends, &entry, sender) ? 1 : 0;
+        return accepted;
     }
     uv_loop_t loop;
     backends_t backends;
@@ -86,48 +83,48 @@
     return "i-" + std::to_string(number);
 }
 
-GArray *array_of(const std::vector<load_entry_t> &told) {
+GArray *array_of(const std::vector<load_entry_t> &reported) {
     GArray *entries = g_array_new(FALSE, FALSE, sizeof(load_entry_t));
-    g_array_append_vals(entries, told.data(), static_cast<guint>(told.size()));
+    g_array_append_vals(entries, reported.data(), static_cast<guint>(reported.size()));
     return entries;
 }
 
-TEST(BackendPaces, WhatOneGatewayMeasuredAnotherKnows) {
+TEST(BackendSpeeds, MeasurementsAreSharedBetweenGateways) {
     Gateway one("gateway-1");
     Gateway other("gateway-2");
     for (unsigned i = 0; i < 6; i++) {
-        one.add(instance(i), first_life + i);
-        other.add(instance(i), first_life + i);
+        one.add(instance(i), first_start + i);
+        other.add(instance(i), first_start + i);
         one.measure(instance(i), i < 2 ? 7500 : 3000, 10);
     }
     EXPECT_EQ(one.speed(instance(0)), 40U);
     EXPECT_EQ(one.speed(instance(5)), 100U);
-    std::vector<load_entry_t> told = one.tell(1);
-    ASSERT_EQ(told.size(), 6U);
-    EXPECT_EQ(other.hear(told, 1), 6U);
+    std::vector<load_entry_t> reported = one.report(1);
+    ASSERT_EQ(reported.size(), 6U);
+    EXPECT_EQ(other.receive(reported, 1), 6U);
     EXPECT_EQ(other.speed(instance(0)), 40U);
     EXPECT_EQ(other.speed(instance(5)), 100U);
     EXPECT_EQ(backend_paces_count(&other.backends).slow, 2U);
     EXPECT_EQ(backend_paces_count(&other.backends).fast, 0U);
-    EXPECT_TRUE(one.tell(1).empty()) << "only fresh samples are told";
+    EXPECT_TRUE(one.report(1).empty()) << "only new samples are reported";
 }
 
-TEST(BackendPaces, ThoseThatDoNotTellTheirLifeAreNeitherMeasuredNorTold) {
+TEST(BackendSpeeds, BackEndsWithoutStartTimeAreNeitherMeasuredNorReported) {
     Gateway gateway("gateway-1");
     for (unsigned i = 0; i < 4; i++) {
         gateway.add(instance(i), 0);
         gateway.measure(instance(i), i == 0 ? 30000 : 3000, 10);
     }
     EXPECT_EQ(gateway.speed(instance(0)), 100U);
-    EXPECT_TRUE(gateway.tell(1).empty());
+    EXPECT_TRUE(gateway.report(1).empty());
     EXPECT_EQ(backend_paces_count(&gateway.backends).measured, 0U);
 }
 
-// Routes whose answers take 20 and 200 ms; a back end that only has the slow one's calls.
-TEST(BackendPaces, ASlowRouteIsNotTakenForASlowBackEnd) {
+// Routes take 20 and 200 ms; one back end serves only the slow route.
+TEST(BackendSpeeds, ASlowRouteDoesNotMakeABackEndSlow) {
     Gateway gateway("gateway-1");
     for (unsigned i = 0; i < 4; i++)
-        gateway.add(instance(i), first_life);
+        gateway.add(instance(i), first_start);
     for (unsigned i = 0; i < 200; i++) {
         uint64_t now = uv_now(&gateway.loop);
         unsigned back_end = i % 4;
@@ -140,140 +137,140 @@
     EXPECT_EQ(gateway.speed(instance(1)), 50U);
 }
 
-// A gateway that has just started while all answers are late knows no usual time yet: it told back
-// ends at three times their speed.
-TEST(BackendPaces, AGatewayThatHasJustStartedMeasuresNoPlainBackEnd) {
+// A gateway that starts while all responses are slow would record too high a median for the route,
+// and report back ends as faster than they are.
+TEST(BackendSpeeds, PlainBackEndsAreNotMeasuredBeforeTheRouteHasAMedian) {
     Gateway gateway("gateway-1");
-    gateway.add("a", first_life);
+    gateway.add("a", first_start);
     uint64_t now = uv_now(&gateway.loop);
     for (unsigned i = 0; i < 15; i++)
         backend_paces_note_answer(gateway.find("a"), "route", now - (i < 6 ? 90 : 30));
-    EXPECT_TRUE(gateway.tell(1).empty());
+    EXPECT_TRUE(gateway.report(1).empty());
     for (unsigned i = 0; i < 16; i++)
         backend_paces_note_answer(gateway.find("a"), "route", now - 30);
-    EXPECT_EQ(gateway.tell(1).size(), 1U);
+    EXPECT_EQ(gateway.report(1).size(), 1U);
 }
 
-// Speeds of some back ends are no measure against the counts of others: calls went on to queue
-// here.
-TEST(BackendPaces, AServiceOfWhichSomeDoNotTellTheirLifeIsServedByCounts) {
+// Back ends with and without measured speeds are not comparable: calls would queue in the local
+// zone although another zone has free slots.
+TEST(BackendSpeeds, WithoutAllStartTimesTheChoiceUsesCounts) {
     Gateway gateway("gateway-1");
-    gateway.add("near", first_life);
+    gateway.add("near", first_start);
     gateway.add("far", 0, "there");
     gateway.find("near")->elsewhere = 3;
     backend_choice_t choice = {"s", nullptr, 6};
     backend_t *chosen = backends_choose(&gateway.backends, &choice);
     EXPECT_EQ(chosen, gateway.find("far"));
     backend_release(chosen);
-    gateway.add("far", first_life, "there");
+    gateway.add("far", first_start, "there");
     chosen = backends_choose(&gateway.backends, &choice);
     EXPECT_EQ(chosen, gateway.find("near")) << "it has free slots";
     backend_release(chosen);
 }
 
-// Prints what a choice costs when 200 of 6,666 back ends are measured.
-TEST(BackendPaces, ChoicesAmongThousands) {
+// Prints the time of a choice with 200 of 6,666 back ends measured.
+TEST(BackendSpeeds, ChoiceAmongThousandsOfBackEnds) {
     Gateway gateway("gateway-1");
     const char *const zones[] = {"here", "b", "c", "d", "e", "f"};
     for (unsigned i = 0; i < 6666; i++)
-        gateway.add(instance(i), first_life + i, zones[i % 6]);
+        gateway.add(instance(i), first_start + i, zones[i % 6]);
     for (unsigned i = 0; i < 200; i++)
         gateway.measure(instance(i), i % 3 == 0 ? 7500 : 3000, 10);
     constexpr unsigned rounds = 200;
     backend_choice_t choice = {"s", nullptr, 6};
-    uint64_t begun = uv_hrtime();
+    uint64_t started_at = uv_hrtime();
     for (unsigned i = 0; i < rounds; i++)
         backend_release(backends_choose(&gateway.backends, &choice));
-    printf("a choice: %.1f us\n", static_cast<double>(uv_hrtime() - begun) / 1000 / rounds);
+    printf("a choice: %.1f us\n", static_cast<double>(uv_hrtime() - started_at) / 1000 / rounds);
     EXPECT_EQ(gateway.speed(instance(0)), 40U);
 }
 
-// What is told in a second is bounded, so that a node's 14 KB/s for control is kept at any number.
-TEST(BackendPaces, WhatIsToldIsBoundedAndGoesByTurns) {
+// Bytes per second are bounded, so that control traffic stays within 14 KB/s at any scale.
+TEST(BackendSpeeds, ReportsAreBoundedAndRoundRobin) {
     constexpr unsigned gateways = 60;
     Gateway gateway("gateway-1");
     for (unsigned i = 0; i < 60; i++) {
-        gateway.add(instance(i), first_life + i);
+        gateway.add(instance(i), first_start + i);
         gateway.measure(instance(i), 3000, 1);
     }
-    gateway.tell(gateways);
-    std::vector<load_entry_t> told;
-    uint64_t begun = uv_now(&gateway.loop);
-    while (uv_now(&gateway.loop) < begun + 2600) {
-        for (const load_entry_t &entry : gateway.tell(gateways))
-            told.push_back(entry);
+    gateway.report(gateways);
+    std::vector<load_entry_t> reported;
+    uint64_t started_at = uv_now(&gateway.loop);
+    while (uv_now(&gateway.loop) < started_at + 2600) {
+        for (const load_entry_t &entry : gateway.report(gateways))
+            reported.push_back(entry);
         uv_sleep(5);
         uv_update_time(&gateway.loop);
     }
-    double seconds = static_cast<double>(uv_now(&gateway.loop) - begun) / 1000;
-    GArray *entries = array_of(told);
+    double seconds = static_cast<double>(uv_now(&gateway.loop) - started_at) / 1000;
+    GArray *entries = array_of(reported);
     GArray *none = array_of({});
     watch_report_t watch = {};
     GBytes *with = load_report_encode(&watch, entries);
     GBytes *without = load_report_encode(&watch, none);
     size_t bytes = (g_bytes_get_size(with) - g_bytes_get_size(without)) * gateways;
-    EXPECT_GT(told.size(), 0U);
+    EXPECT_GT(reported.size(), 0U);
     EXPECT_LE(static_cast<double>(bytes), 1.05 * BACKEND_PACES_BYTES_A_S * seconds);
     std::set<uint64_t> ids;
-    for (const load_entry_t &entry : told)
+    for (const load_entry_t &entry : reported)
         ids.insert(entry.backend);
-    EXPECT_EQ(ids.size(), told.size()) << "each in its turn";
+    EXPECT_EQ(ids.size(), reported.size()) << "each back end once before any is repeated";
     g_bytes_unref(with);
     g_bytes_unref(without);
     g_array_free(entries, TRUE);
     g_array_free(none, TRUE);
 }
 
-TEST(BackendPaces, ANewLifeBeginsAtTheTypicalSpeed) {
+TEST(BackendSpeeds, ARestartedBackEndStartsAtTheTypicalSpeed) {
     Gateway gateway("gateway-1");
     for (unsigned i = 0; i < 5; i++) {
-        gateway.add(instance(i), first_life);
+        gateway.add(instance(i), first_start);
         gateway.measure(instance(i), i == 0 ? 9000 : 3000, 10);
     }
     EXPECT_EQ(gateway.speed(instance(0)), 33U);
-    gateway.add(instance(0), second_life);
+    gateway.add(instance(0), second_start);
     EXPECT_EQ(gateway.speed(instance(0)), 100U);
     EXPECT_EQ(gateway.speed(instance(1)), 100U);
 }
 
-TEST(BackendPaces, ALateDatagramOfAnEarlierLifeChangesNothing) {
+TEST(BackendSpeeds, ALateDatagramOfAnEarlierIncarnationIsIgnored) {
     Gateway one("gateway-1");
     Gateway other("gateway-2");
     for (unsigned i = 0; i < 5; i++) {
-        one.add(instance(i), first_life);
-        other.add(instance(i), first_life);
+        one.add(instance(i), first_start);
+        other.add(instance(i), first_start);
         one.measure(instance(i), i == 0 ? 9000 : 3000, 10);
     }
     other.measure(instance(4), 3000, 10);
-    std::vector<load_entry_t> late = one.tell(1);
-    other.add(instance(0), second_life);
-    EXPECT_EQ(other.hear(late, 1), 4U) << "all but the one that has started again";
+    std::vector<load_entry_t> late = one.report(1);
+    other.add(instance(0), second_start);
+    EXPECT_EQ(other.receive(late, 1), 4U) << "all but the restarted back end";
     EXPECT_EQ(other.speed(instance(0)), 100U);
-    one.add(instance(0), second_life);
+    one.add(instance(0), second_start);
     one.measure(instance(0), 1500, 10);
-    EXPECT_EQ(other.hear(one.tell(1), 1), 1U);
+    EXPECT_EQ(other.receive(one.report(1), 1), 1U);
     EXPECT_EQ(other.speed(instance(0)), 200U);
-    other.hear(late, 1);
+    other.receive(late, 1);
     EXPECT_EQ(other.speed(instance(0)), 200U);
 }
 
-// A stream that was sent to the life before ends after the back end has started again.
-TEST(BackendPaces, ACallOfTheLifeBeforeMeasuresNothing) {
+// A stream sent to the previous incarnation ends after the restart.
+TEST(BackendSpeeds, ACallOfThePreviousIncarnationIsNotMeasured) {
     Gateway gateway("gateway-1");
-    gateway.add("a", first_life);
+    gateway.add("a", first_start);
     uint64_t sent_at = uv_now(&gateway.loop) - 1;
-    gateway.add("a", second_life);
+    gateway.add("a", second_start);
     backend_t *backend = gateway.find("a");
     backend_paces_note_stream(backend, 3000, sent_at);
     backend_send_begun(backend, &sent_at);
     backend_send_answered(backend, &sent_at);
-    EXPECT_EQ(backend->pace, nullptr);
+    EXPECT_EQ(backend->speed, nullptr);
     EXPECT_EQ(backend->signs.answer_ms, 0U);
 }
 
-TEST(BackendPaces, ANewLifeIsNeitherDownNorSlowToAnswer) {
+TEST(BackendSpeeds, ARestartClearsDownAndOverdueStates) {
     Gateway gateway("gateway-1");
-    gateway.add("a", first_life);
+    gateway.add("a", first_start);
     backend_t *backend = gateway.find("a");
     uint64_t long_ago = 0;
     backend_send_begun(backend, &long_ago);
@@ -284,7 +281,7 @@
     ASSERT_TRUE(backend_down(backend));
     ASSERT_TRUE(backend_avoided(backend));
     ASSERT_GT(backend_tell_out_ms(backend), 0U);
-    gateway.add("a", second_life);
+    gateway.add("a", second_start);
     EXPECT_FALSE(backend_down(backend));
     EXPECT_FALSE(backend_avoided(backend));
     EXPECT_EQ(backend_tell_out_ms(backend), 0U);
@@ -293,9 +290,9 @@
     backend_send_ended(backend, &long_ago);
 }
 
-TEST(BackendPaces, TheSameLifeAndOneThatIsNotToldForgetNothing) {
+TEST(BackendSpeeds, UnchangedAndUnknownStartTimesKeepState) {
     Gateway gateway("gateway-1");
-    for (uint64_t born : {first_life, uint64_t{0}, uint64_t{0}, first_life}) {
+    for (uint64_t born : {first_start, uint64_t{0}, uint64_t{0}, first_start}) {
         gateway.add("a", born);
         backend_note_reset(gateway.find("a"));
         gateway.add("a", born);
@@ -303,10 +300,9 @@
     }
 }
 
-// Compatibility. What commit 77b7e5a reads of a datagram: an entry of an unknown id is skipped. Its
-// bytes were written by that version's load_report_encode.
+// Compatibility: datagrams encoded by the version without speeds are still read and written.
 
-TEST(LoadReport, BytesOfTheVersionBeforeAreRead) {
+TEST(LoadReport, BytesOfThePreviousVersionAreRead) {
     const std::vector<uint8_t> bytes = {0x19, 0x07, 0xd0, 0x19, 0x27, 0x10, 0xf5, 0xf4, 0x82,
                                         0x1b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff,
                                         0x03, 0x00, 0x18, 0x2a, 0x01, 0x19, 0x01, 0xf4};
@@ -327,15 +323,15 @@
     g_array_free(entries, TRUE);
 }
 
-TEST(LoadReport, PacesAreEntriesOfBackEndsThatTheVersionBeforeDoesNotKnow) {
+TEST(LoadReport, SpeedEntriesHaveIdsUnknownToThePreviousVersion) {
     Gateway gateway("gateway-1");
-    gateway.add("a", first_life);
+    gateway.add("a", first_start);
     gateway.measure("a", 3000, 1);
-    std::vector<load_entry_t> told = gateway.tell(1);
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_EQ(backends_find_hash(&gateway.backends, told[0].backend), nullptr);
+    std::vector<load_entry_t> reported = gateway.report(1);
+    ASSERT_EQ(reported.size(), 1U);
+    EXPECT_EQ(backends_find_hash(&gateway.backends, reported[0].backend), nullptr);
     watch_report_t watch = {};
-    GArray *entries = array_of(told);
+    GArray *entries = array_of(reported);
     GBytes *bytes = load_report_encode(&watch, entries);
     GArray *read = array_of({});
     gsize length;
@@ -351,7 +347,7 @@
     g_array_free(read, TRUE);
 }
 
-TEST(LoadReport, APacesAgeSurvivesTheJourney) {
+TEST(LoadReport, TheAgeOfASpeedEntryIsPreserved) {
     backend_pace_t pace = {1234567, 300, 90000};
     load_entry_t entry = load_entry_of_pace(7, &pace, 100000);
     backend_pace_t read = load_entry_pace(&entry, 500000);
@@ -360,7 +356,7 @@
     EXPECT_EQ(read.at, 490000U);
 }
 
-/** Two gateways that tell one another over the loopback, on one loop. */
+/** Two gateways that exchange load reports over the loopback interface, on one loop. */
 class Sharing : public testing::Test {
   protected:
     struct Side {
@@ -372,7 +368,7 @@
         uv_loop_t loop;
         Side sides[2];
     };
-    /** Load sharing has no end before that of its process. */
+    /** Load sharing can't be closed: its state stays allocated until the process exits. */
     static World *new_world() {
         static auto *const all = new std::vector<World *>;
         all->push_back(new World{});
@@ -394,7 +390,7 @@
     void open(Side &side) {
         backends_init(&side.backends, &loop, "here", "gateway");
         for (unsigned i = 0; i < 5; i++)
-            add(side, i, first_life);
+            add(side, i, first_start);
         side.address = {};
         side.address.sin_family = AF_INET;
         side.address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -436,7 +432,7 @@
     Side (&sides)[2] = world->sides;
 };
 
-TEST_F(Sharing, PacesGoWithTheLoads) {
+TEST_F(Sharing, SpeedsAreSentWithTheLoads) {
     for (unsigned i = 0; i < 5; i++)
         for (unsigned j = 0; j < 10; j++)
             backend_paces_note_stream(find(sides[0], i), i == 0 ? 7500 : 3000, uv_now(&loop));
@@ -446,11 +442,11 @@
         return backend_speed(find(sides[1], 0)) == 40 && find(sides[1], 1)->elsewhere == 1;
     }));
     EXPECT_EQ(backend_speed(find(sides[1], 4)), 100U);
-    EXPECT_EQ(find(sides[1], 0)->elsewhere, 0U) << "a pace is no load";
+    EXPECT_EQ(find(sides[1], 0)->elsewhere, 0U) << "a speed entry does not change the load";
     backend_release(find(sides[0], 1));
 }
 
-TEST_F(Sharing, LoadsToldOfTheLifeBeforeCountNoMore) {
+TEST_F(Sharing, LoadsOfThePreviousIncarnationAreDropped) {
     backend_take(find(sides[0], 1));
     EXPECT_TRUE(run_until([this] {
         load_sharing_refresh(sides[1].sharing);
@@ -458,7 +454,7 @@
     }));
     uv_sleep(2);
     uv_update_time(&loop);
-    add(sides[1], 1, second_life);
+    add(sides[1], 1, second_start);
     uv_sleep(150);
     uv_update_time(&loop);
     load_sharing_refresh(sides[1].sharing);
--- a/tests/unit/engine_load_test.cc
+++ b/tests/unit/engine_load_test.cc
@@ -1,4 +1,4 @@
-// What a gateway knows of engines, and which of them a choice by cost looks at.
+// State of engines as observed by a gateway, and the engines that a placement by cost evaluates.
 #include <gtest/gtest.h>
 
 #include <ctime>
@@ -12,13 +12,13 @@
 
 constexpr unsigned SLOTS = 6;
 
-class EnginesKnown : public testing::Test {
+class ObservedEngines : public testing::Test {
   protected:
-    EnginesKnown() {
+    ObservedEngines() {
         uv_loop_init(&loop);
         backends_init(&backends, &loop, "here", "10.0.0.1:77");
     }
-    ~EnginesKnown() override {
+    ~ObservedEngines() override {
         backends_clear(&backends);
         uv_loop_close(&loop);
     }
@@ -34,7 +34,7 @@
     backend_t *find(const char *instance) {
         return static_cast<backend_t *>(g_hash_table_lookup(backends.by_instance, instance));
     }
-    /** Chooses for a program; the call ends at once. */
+    /** Places a turn that ends at once. */
     backend_t *choose(uint64_t place = 0, bool begun = false) {
         backend_choice_t choice = {"models", nullptr, 0};
         placement_request_t request = {};
@@ -56,19 +56,19 @@
     placement_t placement;
 };
 
-TEST_F(EnginesKnown, OnlyOfServicesWhoseBackEndsAllTellTheirBirth) {
+TEST_F(ObservedEngines, RequiresStartTimesOfAllBackEnds) {
     EXPECT_FALSE(backends_tell_lives(&backends, "models"));
     add("i-1", "here", 5);
     EXPECT_TRUE(backends_tell_lives(&backends, "models"));
 }
 
-TEST_F(EnginesKnown, OneBackEndThatDoesNotTellIsEnoughToServeAsBefore) {
+TEST_F(ObservedEngines, OneBackEndWithoutStartTimeDisablesPlacementByCost) {
     add("i-1", "here", 5);
     add("i-2", "there", 0);
     EXPECT_FALSE(backends_tell_lives(&backends, "models"));
 }
 
-TEST_F(EnginesKnown, WhetherAllTellIsKnownAtOnce) {
+TEST_F(ObservedEngines, StartTimesAreTrackedWithTheDirectory) {
     add("i-1", "here", 5);
     EXPECT_TRUE(backends_tell_lives(&backends, "models"));
     add("i-2", "there", 0);
@@ -80,10 +80,10 @@
     backends_remove(&backends, "i-2");
     EXPECT_FALSE(backends_tell_lives(&backends, "models"));
     backends_remove(&backends, "i-3");
-    EXPECT_FALSE(backends_tell_lives(&backends, "models")) << "nobody tells anything";
+    EXPECT_FALSE(backends_tell_lives(&backends, "models")) << "no back ends";
 }
 
-TEST_F(EnginesKnown, WhileTheZoneHasRoomNoOtherIsUsed) {
+TEST_F(ObservedEngines, OtherZonesAreUsedOnlyWhenTheLocalOneIsFull) {
     for (unsigned i = 0; i < 9; i++)
         add("near-" + std::to_string(i), "here", 5);
     for (unsigned i = 0; i < 27; i++)
@@ -98,7 +98,7 @@
         EXPECT_FALSE(choose()->near);
 }
 
-TEST_F(EnginesKnown, AnEngineThatTurnedACallAwayGetsNothingNew) {
+TEST_F(ObservedEngines, AnEngineThatRefusedACallGetsNoNewPrograms) {
     add("i-1", "here", 5);
     add("i-2", "here", 5);
     backend_t *full = find("i-1");
@@ -108,20 +108,21 @@
     backend_release(full);
     for (unsigned i = 0; i < 100; i++) {
         EXPECT_EQ(choose(), find("i-2"));
-        EXPECT_EQ(choose(full->id_hash, true), find("i-2")) << "its programs leave it";
+        EXPECT_EQ(choose(full->id_hash, true), find("i-2"))
+            << "its programs move to another engine";
     }
     EXPECT_EQ(engine_load_state(full, usual(), 0).queue, SLOTS);
     find("i-2")->elsewhere = 2 * SLOTS;
-    EXPECT_EQ(choose(), nullptr) << "another one's queue is taken to be as long";
+    EXPECT_EQ(choose(), nullptr) << "the queue length observed at one engine applies to the others";
     EXPECT_EQ(placement.outcome, PLACEMENT_FULL);
     EXPECT_GT(placement.free_ms, 0);
     EXPECT_NE(choose(full->id_hash, true), nullptr);
     add("i-1", "here", 6);
     full->elsewhere = 2;
-    EXPECT_FALSE(engine_load_state(full, usual(), 0).turns_away) << "it has started again";
+    EXPECT_FALSE(engine_load_state(full, usual(), 0).turns_away) << "it has restarted";
 }
 
-TEST_F(EnginesKnown, WhatWasLearnedOutlivesARecordOfTheSameLifeInShortForm) {
+TEST_F(ObservedEngines, ObservationsSurviveARecordWithTheShortStartTime) {
     add("i-1", "here", 1764700000000);
     backend_t *full = find("i-1");
     full->elsewhere = 2 * SLOTS;
@@ -134,7 +135,7 @@
     EXPECT_GT(engine_limit_queue(&full->limit, backend_record_life(full->record), SLOTS), 0U);
 }
 
-TEST_F(EnginesKnown, TimesWhereCallsWaitAreNoMeasure) {
+TEST_F(ObservedEngines, TimesOfQueuedTurnsAreIgnored) {
     add("i-1", "here", 5);
     for (unsigned i = 0; i < 100; i++)
         engine_load_note_turn(find("i-1"), SLOTS, 0, 5000);
@@ -146,27 +147,27 @@
     EXPECT_GT(placement.cost_ms, 4000);
 }
 
-// 10,000 engines in six zones, all of this one crowded: of the others no more are looked at than
-// are drawn. Prints the time of a choice, for docs/CAPACITY.md.
-TEST_F(EnginesKnown, OfTenThousandEnginesAChoiceLooksAtTheZoneAndAFew) {
+// 10,000 engines in six zones, the local ones overloaded. Prints the time of a placement and of a
+// choice by count, for docs/CAPACITY.md.
+TEST_F(ObservedEngines, PlacementAmongTenThousandEnginesSamplesOtherZones) {
     for (unsigned i = 0; i < 10000; i++)
         add("i-" + std::to_string(i), i % 6 == 0 ? "here" : "there", 5);
     for (unsigned i = 0; i < 10000; i += 6)
         find(("i-" + std::to_string(i)).c_str())->elsewhere = 3 * SLOTS;
     clock_t begin = clock();
-    unsigned far = 0;
+    unsigned remote = 0;
     for (unsigned i = 0; i < 200; i++)
-        far += !choose()->near;
-    clock_t took = clock() - begin;
+        remote += !choose()->near;
+    clock_t by_cost = clock() - begin;
     begin = clock();
     for (unsigned i = 0; i < 200; i++) {
         backend_choice_t choice = {"models", nullptr, 0};
         engine_request_t request = {0, i};
         backend_release(backends_choose_engine(&backends, &choice, &request));
     }
-    clock_t before = clock() - begin;
-    printf("%ld us of processor a choice, by count %ld us\n", took / 200, before / 200);
-    EXPECT_EQ(far, 200U);
+    clock_t by_count = clock() - begin;
+    printf("%ld us of processor a choice, by count %ld us\n", by_cost / 200, by_count / 200);
+    EXPECT_EQ(remote, 200U);
 }
 
 } // namespace
