--- a/src/gateway/engine_load.h
+++ b/src/gateway/engine_load.h
@@ -28,7 +28,7 @@
 /** Active calls of this gateway, and of the others as last reported. */
 unsigned backend_load(const backend_t *backend);
 
-/** State of an engine; @p usual: baseline of its service, @p slots: default if it reports none. */
+/** Observed state of an engine; @p usual: of its service, @p slots: default if it reports none. */
 engine_state_t engine_load_state(backend_t *backend, const engine_usual_t *usual, unsigned slots);
 
 /** The engine refused a call that is still counted as active. */
