--- a/src/gateway/backend_paces.c
+++ b/src/gateway/backend_paces.c
@@ -9,13 +9,13 @@
     MS_PER_S = 1000,
     UNIT_US = 1000,         /**< Work of a plain call that takes the median time of its route. */
     ROUTE_SAMPLES_MIN = 16, /**< Samples before a route has a median, e.g. after a restart. */
-    MEASURABLE_MIN_MS = 5,  /**< Minimum median of a route: the clock has a resolution of 1 ms. */
+    MEASURABLE_MIN_MS = 5,  /**< Minimum median time of a route; the clock has 1 ms resolution. */
     REFRESH_INTERVAL_MS = 500, /**< Interval between computations of speeds. */
     ENTRY_BYTES = 19,          /**< Maximum encoded size of a load_entry_t. */
     REPORT_ENTRIES_MAX = 16,   /**< Entries per datagram. */
     ROUTES_MAX = 1000,         /**< Routes with recorded response times. */
-    LOG_LINES_MAX = 16,        /**< Log lines per refresh, */
-    LOG_INTERVAL_MS = 5000,    /**< and minimum time between two of one back end. */
+    LOG_LINES_MAX = 16,        /**< Maximum number of log lines per refresh. */
+    LOG_INTERVAL_MS = 5000,    /**< Minimum time between two log lines of one back end. */
     SLOW_PERCENT = 50,
     FAST_PERCENT = 200,
     /* Hysteresis: a class is entered beyond the first limit and left within the second. */
@@ -51,7 +51,7 @@
     uint32_t previous_alone_us; /**< Previous sample, corrected for load; 0: none. */
     reported_speed_t reported[BACKEND_TELLERS_MOST];
     backend_pace_t merged;
-    unsigned gateways; /**< Number of gateways with a weight in it. */
+    unsigned gateways; /**< Number of gateways whose estimates have a weight in `merged`. */
     unsigned percent;
     speed_class_t speed_class;
     uint64_t logged_at;
@@ -62,7 +62,7 @@
     GHashTable *by_incarnation; /**< Incarnation id to backend_t. */
     GHashTable *measured;       /**< Set of backend_t with an incarnation_speed_t. */
     GHashTable *services;       /**< Name to service_speed_t. */
-    GHashTable *routes;         /**< Name to recent_times_t: ms of the answers. */
+    GHashTable *routes;         /**< Name to recent_times_t of response times in ms. */
     GQueue to_report;           /**< Of backend_t, with samples not yet reported. */
     uint64_t credited_at;
     uint64_t credit_bytes;
@@ -239,7 +239,7 @@
     }
 }
 
-/** The slot for a gateway's estimate: its own if it has one, or else the oldest. */
+/** The slot for the estimate of @p sender: its previous one, or else the least recent slot. */
 static reported_speed_t *find_report_slot(incarnation_speed_t *speed, uint64_t sender) {
     reported_speed_t *oldest = &speed->reported[0];
     for (unsigned i = 0; i < BACKEND_TELLERS_MOST; i++) {
--- a/src/gateway/backend_paces.h
+++ b/src/gateway/backend_paces.h
@@ -34,11 +34,11 @@
 
 backend_speeds_t *backend_speeds_new(void);
 void backend_speeds_free(backend_speeds_t *speeds);
-/** A back end's record is new or has changed; a new incarnation discards all measurements. */
+/** Applies a new or changed directory record; discards the measurements of earlier incarnations. */
 void backend_speeds_update_record(backend_t *backend);
 /** Discards the measurements of a back end and its incarnation id. */
 void backend_speeds_remove(backend_t *backend);
-/** A call of @p route that was sent at @p sent_at has got its response. */
+/** Records the response time of a call of @p route that was sent at @p sent_at. */
 void backend_paces_note_answer(backend_t *backend, const char *route, uint64_t sent_at);
 /** A stream whose call was sent at @p sent_at generated events, one per @p event_us on average. */
 void backend_paces_note_stream(backend_t *backend, uint32_t event_us, uint64_t sent_at);
--- a/src/gateway/backends.c
+++ b/src/gateway/backends.c
@@ -25,7 +25,7 @@
     g_free(members);
 }
 
-static service_members_t *obtain_members(backends_t *backends, const char *service) {
+static service_members_t *find_or_add_service(backends_t *backends, const char *service) {
     service_members_t *members = g_hash_table_lookup(backends->by_service, service);
     if (members != NULL)
         return members;
@@ -44,7 +44,7 @@
 }
 
 static void add_to_index(backends_t *backends, backend_t *backend) {
-    service_members_t *members = obtain_members(backends, backend->record->service);
+    service_members_t *members = find_or_add_service(backends, backend->record->service);
     unsigned *counter = start_time_counter(members, backend->record);
     if (counter != NULL)
         ++*counter;
@@ -54,14 +54,14 @@
     g_ptr_array_add(backend->list, backend);
 }
 
-/** Removes it from its list; the last element moves to its index. */
+/** Removes a back end from the list of its service; the last element moves to its index. */
 static void remove_from_index(backend_t *backend) {
     backend_t *last = g_ptr_array_index(backend->list, backend->list->len - 1);
     last->list_index = backend->list_index;
     g_ptr_array_remove_index_fast(backend->list, backend->list_index);
     backend->list = NULL;
-    unsigned *counter = start_time_counter(obtain_members(backend->owner, backend->record->service),
-                                           backend->record);
+    unsigned *counter = start_time_counter(
+        find_or_add_service(backend->owner, backend->record->service), backend->record);
     if (counter != NULL)
         --*counter;
 }
@@ -288,7 +288,7 @@
            is_overdue(backend, now);
 }
 
-/** Includes it in reports to the other gateways until there is nothing left to report. */
+/** Includes the back end in reports to other gateways until there is nothing left to report. */
 static void mark_for_report(backend_t *backend) {
     if (!backend->gone)
         g_hash_table_add(backend->owner->used, backend);
--- a/src/gateway/backends.h
+++ b/src/gateway/backends.h
@@ -26,9 +26,9 @@
     GPtrArray *near;             /**< In the gateway's zone; of backend_t. */
     GPtrArray *far;              /**< In other zones; of backend_t. */
     engine_usual_t usual;        /**< Running baseline of its turns; see engine_load.h. */
-    unsigned with_start_time;    /**< Back ends, except leaving ones, that report a start time, */
-    unsigned without_start_time; /**< and those that do not. */
-    uint64_t draws;              /**< Input of the random choice; incremented by each. */
+    unsigned with_start_time;    /**< Back ends that report a start time, except leaving ones. */
+    unsigned without_start_time; /**< Back ends that report none, except leaving ones. */
+    uint64_t draws; /**< Input of the random bits of a placement; incremented by each. */
 } service_members_t;
 
 typedef struct {
@@ -96,7 +96,7 @@
  * False if it was removed or is unknown.
  */
 bool backends_lapse(backends_t *backends, const char *instance, uint64_t until);
-/** Removes those whose entries were not restored within the grace period; returns how many. */
+/** Removes back ends whose entries were not restored in the grace period; returns their number. */
 unsigned backends_expire_lapsed(backends_t *backends);
 /** Removes all back ends whose instance is not in @p instances. */
 void backends_retain(backends_t *backends, GHashTable *instances);
@@ -112,7 +112,7 @@
 unsigned backend_usual_answer_ms(const backend_t *backend);
 /** True if it is unreachable, or a response is overdue and no bytes arrive for any call. */
 bool backend_down(backend_t *backend);
-/** True if it is a last resort only: ejected, down, or a response is overdue. */
+/** True if the back end is ejected, down or overdue: chosen only if no other one is usable. */
 bool backend_avoided(backend_t *backend);
 /** True if at least half of the slots of some back end are known to be occupied. */
 bool backends_half_full(const backends_t *backends);
@@ -137,7 +137,7 @@
 void backend_send_answered(backend_t *backend, const uint64_t *sent_at);
 /** The call stops waiting; no effect if the response has begun. */
 void backend_send_ended(backend_t *backend, const uint64_t *sent_at);
-/** A connection ended too soon after the send for any work: the back end may be down. */
+/** Records evidence that the back end is down: a reset right after a send, or failed probes. */
 void backend_note_reset(backend_t *backend);
 
 /** Returns an idle connection, or else opens one; NULL if that fails. */
--- a/src/gateway/engine_load.c
+++ b/src/gateway/engine_load.c
@@ -15,7 +15,7 @@
     return &members->usual;
 }
 
-/** Observed queue length of the engine, or else that of its service. */
+/** Observed maximum queue length of the engine, or else that of its service. */
 static unsigned queue_limit(const backend_t *backend, const engine_usual_t *usual, unsigned slots) {
     unsigned own = engine_limit_queue(&backend->limit, backend_record_life(backend->record), slots);
     return own > 0 ? own : engine_usual_queue(usual, slots);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -43,7 +43,7 @@
     uint64_t calls;
     uint64_t answered; /**< With a back end's response. */
     uint64_t refused;  /**< Not run, and reported as such. */
-    uint64_t failed;   /**< With 502, 504 or a closed connection. */
+    uint64_t failed;   /**< With 502, 504 or an aborted connection. */
     uint64_t callers_gone;
     uint64_t sends;
     uint64_t sent_again;
@@ -57,11 +57,11 @@
     uint64_t begun_over_quota;   /**< Of over_quota: calls of programs proven to have started. */
     uint64_t refused_zone_cut;   /**< Refused while the zone was isolated. */
     uint64_t chain_reads;
-    uint64_t engines_new;     /**< Turns placed by cost: of programs without an engine, */
-    uint64_t engines_kept;    /**< at the program's engine, */
-    uint64_t engines_moved;   /**< and at a different one. */
-    uint64_t engines_full;    /**< Not sent: all engines were full. */
-    uint64_t engines_refused; /**< Refused by an engine. */
+    uint64_t engines_new;     /**< Turns placed by cost, of programs without an engine. */
+    uint64_t engines_kept;    /**< Turns placed by cost at the program's engine. */
+    uint64_t engines_moved;   /**< Turns placed by cost at another engine than the program's. */
+    uint64_t engines_full;    /**< Turns not sent because all engines were full. */
+    uint64_t engines_refused; /**< Turns refused by an engine. */
     latency_histogram_t latency[GATEWAY_CALL_KINDS];
 } gateway_counters_t;
 
@@ -84,25 +84,24 @@
     retry_budget_t late_budget; /**< Limits the calls resent because their response is late. */
     GHashTable *split_credits;  /**< Route name to the state of its traffic split; see split.h. */
     key_value_watch_t *watch;
-    key_value_watch_t *group_watch; /**< Of the store group only, during startup; NULL: none. */
-    directory_feed_t *feed;         /**< Gateways that follow this one's view. */
-    directory_follow_t *follow;     /**< The gateway whose view this one follows. */
-    directory_snapshot_t snapshot;  /**< Contents received from the watch. */
-    GBytes *group;                  /**< Latest store group in it; NULL: none received. */
-    bool directory_confirmed;       /**< Received from the key-value service, not a storage node. */
+    key_value_watch_t *group_watch; /**< Of the store group's key, at startup; NULL: none. */
+    directory_feed_t *feed;         /**< Forwards the directory to gateways that follow this one. */
+    directory_follow_t *follow;     /**< Receives the directory from another gateway. */
+    directory_snapshot_t snapshot;  /**< Contents of the directory as received. */
+    GBytes *group;             /**< Latest store group in the directory; NULL: none received. */
+    bool directory_confirmed;  /**< Received from the key-value service, not a storage node. */
     GArray *sources;           /**< Of struct sockaddr_in: gateways of the root cell to follow. */
     unsigned sources_tried;    /**< Number of attempts to follow one of them. */
     unsigned sources_failed;   /**< Consecutive failed attempts. */
     uint64_t gateways_told_at; /**< When storage nodes first listed other gateways; 0: never. */
     uint64_t offered_revision; /**< Of the snapshot last offered to storage nodes. */
     uint64_t offered_at;
-    unsigned offered_links;     /**< Number of links opened by then. */
+    unsigned offered_links;     /**< Links to storage nodes opened by the time of that offer. */
     uint64_t kept_at;           /**< When a storage node's directory was applied; 0: never. */
     uint32_t listing_spread_ms; /**< Chosen at random; see listing_turn.h. */
-    uint64_t
-        offers_directory_since;  /**< Since when it offers it to storage nodes; 0: it doesn't. */
-    bool on_duty;                /**< This gateway watches the key-value service itself. */
-    bool patient;                /**< Enough others retry the service; this one does so rarely. */
+    uint64_t offers_directory_since; /**< Start of its offers to storage nodes; 0: none. */
+    bool on_duty;                    /**< This gateway watches the key-value service itself. */
+    bool patient; /**< Enough other gateways retry the key-value service; this one rarely does. */
     bool reports_seen;           /**< Other gateways are known. */
     uint64_t directory_asked_at; /**< Latest request to storage nodes; 0: never. */
     uv_timer_t directory_timer;
@@ -112,8 +111,8 @@
     bool stores_reached;   /**< A quorum has been connected, or was awaited long enough. */
     outage_t store_outage; /**< Storage nodes can't respond for budgets or turns. */
     bool key_value_reachable;
-    bool key_value_failed;      /**< It did not respond to a request. */
-    uint64_t key_value_back_at; /**< When it responded again after that; 0: never. */
+    bool key_value_failed;      /**< The key-value service did not respond to its latest request. */
+    uint64_t key_value_back_at; /**< When it responded again after failing; 0: never. */
     uint64_t stores_lost_at;    /**< Since when no quorum of storage nodes responds; 0: one does. */
     bool others_have_stores;    /**< Another gateway reaches storage nodes. */
     unsigned peers_without_stores; /**< Other gateways that recently reported reaching none. */
@@ -138,9 +137,9 @@
 extern const load_sharing_handler_t gateway_watch_sharing;
 /** Applies an item of the key-value service, from any source. */
 void gateway_take_item(gateway_t *gateway, const key_value_item_t *item);
-/** Drops all items whose keys are not in the set @p keys. */
+/** Removes the directory items whose keys are not in the set @p keys. */
 void gateway_retain_items(gateway_t *gateway, GHashTable *keys);
-/** The complete view has been received, from the service or from a gateway that watches it. */
+/** Called when the complete directory was received from the service or another gateway. */
 void gateway_note_listed(gateway_t *gateway);
 /**
  * True if the key-value service, or a gateway that watches it, has recently confirmed the local
@@ -163,7 +162,7 @@
 bool gateway_isolated(const gateway_t *gateway);
 /** isolation.c: detects isolation of the zone, if the settings enable it. */
 void gateway_watch_zone(gateway_t *gateway);
-/** The zone became isolated or reachable again; updates everything that depends on it at once. */
+/** Applies a change of the isolation of the zone: readiness, peers and connections of callers. */
 void gateway_note_zone_cut(void *owner, bool cut);
 /** Recomputes readiness and logs a change. */
 void gateway_check_ready(gateway_t *gateway);
--- a/src/gateway/main.c
+++ b/src/gateway/main.c
@@ -9,10 +9,10 @@
 
 enum {
     STOP_CHECK_INTERVAL_MS = 100,
-    /* Phases of a graceful shutdown, as time since the signal. */
-    STOP_NOTICE_MS = 2300,    /**< New connections are still accepted and served until then. */
-    STOP_REFUSE_MS = 3000,    /**< New calls are refused: they might not complete in time. */
-    STOP_RESERVE_MS = 300,    /**< Remaining grace time at which the process exits. */
+    /* Phases of a graceful shutdown: times since the stop signal, except STOP_RESERVE_MS. */
+    STOP_NOTICE_MS = 2300,    /**< Then connections are no longer accepted, idle ones closed. */
+    STOP_REFUSE_MS = 3000,    /**< Then new calls are refused: they might not complete. */
+    STOP_RESERVE_MS = 300,    /**< The process exits this long before the end of the grace time. */
     CACHE_SHARE_PERCENT = 25, /**< Of the process's memory, for the turn cache. */
     PERCENT = 100,
     MEGABYTE = 1024 * 1024,
--- a/src/gateway/reports.c
+++ b/src/gateway/reports.c
@@ -16,15 +16,16 @@
     REPORT_HEADER_MS = 3000,
     REPORT_IDLE_MS = 60000,
     ISOLATED_AFTER_MS = 200,
-    STORES_WAIT_MS = 5000, /**< A gateway that reaches no storage nodes is ready after this. */
+    STORES_WAIT_MS = 5000, /**< After this, a gateway that reaches no storage nodes can be ready. */
 };
 
 static const http_limits_t report_limits = {REPORT_HEADER_BYTES, REPORT_BODY_BYTES,
                                             REPORT_HEADER_MS, REPORT_IDLE_MS};
 
 /**
- * Once they were reached, losing the storage nodes alone does not make the gateway unready: calls
- * without a budget can still be served, and other gateways have most likely lost them too.
+ * True once storage nodes were reached or awaited long enough. Losing them later does not by itself
+ * make the gateway unready: calls without a budget can still be served, and other gateways have
+ * most likely lost them too.
  */
 static bool stores_reached(gateway_t *gateway) {
     bool waited = uv_now(gateway->loop) >= gateway->started_at + STORES_WAIT_MS;
