--- a/src/gateway/store_client.c
+++ b/src/gateway/store_client.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 enum {
-    RECONNECT_MS = 150,
+    RECONNECT_INTERVAL_MS = 150,
 };
 
 /* Connections. */
@@ -27,7 +27,7 @@
     message_clear(&message);
 }
 
-static void tell_own_address(const store_client_t *client, const member_t *member) {
+static void send_own_address(const store_client_t *client, const member_t *member) {
     message_t message;
     message_init(&message, MESSAGE_GATEWAY);
     g_ptr_array_add(message.ids, g_strdup(client->own_address));
@@ -41,8 +41,8 @@
     store_client_t *client = member->client;
     (void)link;
     send_group(client, member);
-    tell_own_address(client, member);
-    store_silence_link_opened(client, member);
+    send_own_address(client, member);
+    store_health_on_link_open(client, member);
     client->links_opened++;
     for (guint i = 0; i < member->backlog->len; i++)
         store_link_send(member->link, g_bytes_ref(g_ptr_array_index(member->backlog, i)));
@@ -54,7 +54,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         store_operation_t *operation = value;
         if (operation->generation == client->group->generation &&
-            store_operation_wants(operation, index))
+            store_operation_awaits(operation, index))
             store_operation_send(operation, member);
     }
 }
@@ -71,12 +71,12 @@
 
 static void connect_members(store_client_t *client) {
     for (guint i = 0; i < client->members->len; i++)
-        store_link_upkeep(((const member_t *)g_ptr_array_index(client->members, i))->link);
+        store_link_maintain(((const member_t *)g_ptr_array_index(client->members, i))->link);
 }
 
 static void on_reconnect(uv_timer_t *timer) {
     connect_members(timer->data);
-    store_silence_upkeep(timer->data);
+    store_health_check(timer->data);
 }
 
 static void free_member(gpointer data) {
@@ -90,7 +90,7 @@
     member_t *member = g_new0(member_t, 1);
     member->client = client;
     member->backlog = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
-    member->signs.near = strcmp(record->zone, client->zone) == 0;
+    member->observation.near = strcmp(record->zone, client->zone) == 0;
     member->link = store_link_new(client->loop, record->name, record->zone, record->address,
                                   &link_handler, member);
     return member;
@@ -107,28 +107,29 @@
     client->group = store_group_new();
     client->members = g_ptr_array_new_with_free_func(free_member);
     client->operations = g_hash_table_new(g_int64_hash, g_int64_equal);
-    uv_timer_init(loop, &client->reconnect);
-    client->reconnect.data = client;
-    store_silence_init(client);
+    uv_timer_init(loop, &client->reconnect_timer);
+    client->reconnect_timer.data = client;
+    store_health_init(client);
     return client;
 }
 
-/** True if a write quorum of links is open, by whichever way or only direct ones. */
+/** True if a write quorum of members is connected; @p direct_only leaves out relayed links. */
 static bool has_quorum(const store_client_t *client, bool direct_only) {
     unsigned open = 0;
     for (guint i = 0; i < client->members->len; i++) {
         const member_t *member = g_ptr_array_index(client->members, i);
-        open += store_silence_counts(client, member) && !(direct_only && member->link->relayed);
+        open +=
+            store_health_is_connected(client, member) && !(direct_only && member->link->relayed);
     }
     return client->members->len > 0 && open >= store_write_quorum(client->members->len);
 }
 
 bool store_client_connected(const store_client_t *client) {
-    return has_quorum(client, false) && !client->silent && !client->zone_silence.cut;
+    return has_quorum(client, false) && !client->unresponsive && !client->isolation.cut;
 }
 
 bool store_client_connected_directly(const store_client_t *client) {
-    return has_quorum(client, true) && !client->silent && !client->zone_silence.cut;
+    return has_quorum(client, true) && !client->unresponsive && !client->isolation.cut;
 }
 
 bool store_client_reaches(const store_client_t *client, const char *name,
@@ -143,8 +144,9 @@
     return false;
 }
 
-/** Takes over the connection of a member that stays, with what waits for it. */
-static member_t *take_member(store_client_t *client, GPtrArray *old, const store_member_t *record) {
+/** Keeps the connection and the backlog of a member whose name and address are unchanged. */
+static member_t *reuse_or_create_member(store_client_t *client, GPtrArray *old,
+                                        const store_member_t *record) {
     struct sockaddr_in address;
     parse_socket_address(record->address, &address);
     for (guint i = 0; i < old->len; i++) {
@@ -167,15 +169,16 @@
     client->members = g_ptr_array_new_with_free_func(free_member);
     for (guint i = 0; i < group->members->len; i++) {
         const store_member_t *record = &g_array_index(group->members, store_member_t, i);
-        member_t *member = take_member(client, old, record);
-        bool near = strcmp(record->zone, client->zone) == 0;
-        g_ptr_array_insert(client->members, near ? 0 : -1, member);
+        member_t *member = reuse_or_create_member(client, old, record);
+        bool local = strcmp(record->zone, client->zone) == 0;
+        g_ptr_array_insert(client->members, local ? 0 : -1, member);
         if (member->link->open)
             send_group(client, member);
     }
     g_ptr_array_free(old, TRUE);
     connect_members(client);
-    uv_timer_start(&client->reconnect, on_reconnect, RECONNECT_MS, RECONNECT_MS);
+    uv_timer_start(&client->reconnect_timer, on_reconnect, RECONNECT_INTERVAL_MS,
+                   RECONNECT_INTERVAL_MS);
     GList *operations = g_hash_table_get_values(client->operations);
     for (GList *item = operations; item != NULL; item = item->next)
         store_operation_restart(item->data);
@@ -191,10 +194,10 @@
     store_group_free(group);
 }
 
-static void give_directory(const store_client_t *client, const member_t *member) {
+static void send_directory(const store_client_t *client, const member_t *member) {
     message_t message;
     message_init(&message, MESSAGE_DIRECTORY);
-    message.directory = client->handler->read_directory(client->owner, &message.revision);
+    message.directory = client->handler->encode_directory(client->owner, &message.revision);
     if (message.directory != NULL)
         store_link_send(member->link, message_encode(&message));
     message_clear(&message);
@@ -207,13 +210,13 @@
     (void)link;
     bool valid = message_decode(&message, data, length);
     if (valid)
-        store_silence_note_answer(member, message.type);
+        store_health_record_response(member, message.type);
     if (valid && message.type == MESSAGE_GROUP)
         store_client_take_group(client, &message);
     else if (valid && message.type == MESSAGE_GATEWAYS)
         client->handler->on_gateways(client->owner, message.ids, message.sources);
     else if (valid && message.type == REQUEST_DIRECTORY)
-        give_directory(client, member);
+        send_directory(client, member);
     else if (valid && message.type == MESSAGE_DIRECTORY && message.directory != NULL)
         client->handler->on_directory(client->owner, message.directory);
     else if (valid && !store_operation_take_answer(member, &message))
@@ -241,7 +244,7 @@
 }
 
 bool store_client_member_open(const store_client_t *client, unsigned member) {
-    return store_silence_counts(client, g_ptr_array_index(client->members, member));
+    return store_health_is_connected(client, g_ptr_array_index(client->members, member));
 }
 
 uint64_t store_client_next_number(store_client_t *client) {
@@ -254,10 +257,10 @@
     message_clear(request);
 }
 
-/* Telling. */
+/* Messages to all members. */
 
-/** Sends @p message to all connected members, without any answer; clears it. */
-static void tell_members(const store_client_t *client, message_t *message) {
+/** Sends @p message, which has no response, to all connected members; clears it. */
+static void broadcast(const store_client_t *client, message_t *message) {
     GBytes *bytes = message_encode(message);
     for (guint i = 0; i < client->members->len; i++)
         store_link_send(((const member_t *)g_ptr_array_index(client->members, i))->link,
@@ -271,19 +274,19 @@
     message_init(&message, MESSAGE_PLACE);
     message.charge.program = g_strdup(program);
     message.place = place;
-    tell_members(client, &message);
+    broadcast(client, &message);
 }
 
 void store_client_offer_directory(const store_client_t *client, uint64_t revision) {
     message_t message;
     message_init(&message, MESSAGE_DIRECTORY_KNOWN);
     message.revision = revision;
-    tell_members(client, &message);
+    broadcast(client, &message);
 }
 
 bool store_client_ask_directory(store_client_t *client) {
     for (guint i = 0; i < client->members->len; i++) {
-        guint index = client->directory_asks++ % client->members->len;
+        guint index = client->directory_requests++ % client->members->len;
         const member_t *member = g_ptr_array_index(client->members, index);
         if (!member->link->open)
             continue;
--- a/src/gateway/store_link.c
+++ b/src/gateway/store_link.c
@@ -5,14 +5,14 @@
 #include "common/event.h"
 
 enum {
-    CONNECT_MS = 250,       /**< A connection that is not up by then is begun anew. */
-    DIRECT_AGAIN_MS = 3000, /**< While relayed, the direct way is tried this often. */
+    CONNECT_TIMEOUT_MS = 250,
+    DIRECT_RETRY_INTERVAL_MS = 3000, /**< Between direct attempts while relayed. */
 };
 
-static bool connect_any(store_link_t *link);
+static bool connect_link(store_link_t *link);
 
-/** The first frame to a gateway: the storage node to pass everything on to. */
-static void ask_for_relay(const store_link_t *link, frame_connection_t *connection) {
+/** Sends the first frame of a relayed connection, which names the storage node. */
+static void request_relay(const store_link_t *link, frame_connection_t *connection) {
     message_t message;
     message_init(&message, MESSAGE_RELAY);
     g_ptr_array_add(message.ids, g_strdup(link->name));
@@ -29,7 +29,7 @@
         link->relayed = false;
     }
     if (link->relayed)
-        ask_for_relay(link, connection);
+        request_relay(link, connection);
     link->open = true;
     link->heard_at = uv_now(link->loop);
     event_log(GATEWAY_STORE_CONNECTED, link->name, link->relayed ? "gateway" : "direct");
@@ -42,7 +42,7 @@
     if (connection != link->connection)
         return;
     link->heard_at = uv_now(link->loop);
-    link->heard = true;
+    link->has_received = true;
     link->failures = 0;
     link->handler->on_frame(link->owner, link, data, length);
 }
@@ -53,13 +53,13 @@
     link->direct = NULL;
 }
 
-/** Whatever was tried beside the connection ends with it. */
+/** Resets the link after its connection ended; a direct attempt beside it ends too. */
 static void connection_ended(store_link_t *link) {
     close_direct(link);
     if (link->open)
         event_log(GATEWAY_STORE_LOST, link->name);
     link->open = false;
-    link->heard = false;
+    link->has_received = false;
     link->connection = NULL;
     link->failures++;
 }
@@ -81,8 +81,8 @@
     connection_ended(link);
 }
 
-/** Every other attempt in a row of failures goes through another gateway if one is known. */
-static bool connect_any(store_link_t *link) {
+/** Alternates between a direct and a relayed connection while attempts fail. */
+static bool connect_link(store_link_t *link) {
     struct sockaddr_in relay;
     link->relayed = link->failures % 2 == 1 && link->handler->find_relay(link->owner, &relay);
     link->connecting_since = uv_now(link->loop);
@@ -94,21 +94,21 @@
 
 static void try_direct(store_link_t *link) {
     uint64_t now = uv_now(link->loop);
-    if (link->direct != NULL && now >= link->direct_since + CONNECT_MS)
+    if (link->direct != NULL && now >= link->direct_since + CONNECT_TIMEOUT_MS)
         close_direct(link);
-    if (link->direct != NULL || now < link->direct_since + DIRECT_AGAIN_MS)
+    if (link->direct != NULL || now < link->direct_since + DIRECT_RETRY_INTERVAL_MS)
         return;
     link->direct_since = now;
     link->direct = frame_connection_open(link->loop, &link->address, &connection_handler, link);
 }
 
-void store_link_upkeep(store_link_t *link) {
-    bool slow = link->connection != NULL && !link->open &&
-                uv_now(link->loop) >= link->connecting_since + CONNECT_MS;
-    if (slow)
+void store_link_maintain(store_link_t *link) {
+    bool timed_out = link->connection != NULL && !link->open &&
+                     uv_now(link->loop) >= link->connecting_since + CONNECT_TIMEOUT_MS;
+    if (timed_out)
         close_connection(link);
     if (link->connection == NULL)
-        connect_any(link);
+        connect_link(link);
     else if (link->relayed && link->open)
         try_direct(link);
 }
@@ -120,9 +120,9 @@
         g_bytes_unref(payload);
 }
 
-void store_link_drop(store_link_t *link) {
+void store_link_reconnect(store_link_t *link) {
     close_connection(link);
-    connect_any(link);
+    connect_link(link);
 }
 
 store_link_t *store_link_new(uv_loop_t *loop, const char *name, const char *zone,
--- a/src/gateway/store_operation.c
+++ b/src/gateway/store_operation.c
@@ -1,7 +1,7 @@
 /*
- * Design. An operation is a request to all members of the group and the count of what each of them
- * said. It begins anew when the group changes, since answers of an earlier generation count for
- * nothing; it is given up after GATEWAY_WRITE_MS.
+ * Quorum operations: each sends a request to the members of the store group and counts their
+ * replies. An operation restarts when the group changes, since replies of an earlier generation are
+ * not counted, and times out after GATEWAY_WRITE_MS.
  */
 #include "gateway/store_client_state.h"
 
@@ -10,9 +10,9 @@
 #include <string.h>
 
 enum {
-    UNSURE_AGAIN_MS = 150, /**< A member that was unsure is asked again after this. */
-    CHAIN_WIDEN_MS = 120,  /**< Without an answer from the nearest member, all are asked. */
-    BACKLOG_MAXIMUM = 2000,
+    UNSURE_RETRY_INTERVAL_MS = 150,
+    CHAIN_FANOUT_DELAY_MS = 120, /**< Wait for the first member before all are asked. */
+    BACKLOG_MAX = 2000,
 };
 
 static void end_operation(store_operation_t *operation);
@@ -24,47 +24,48 @@
     store_link_send(member->link, message_encode(&operation->request));
 }
 
-bool store_operation_wants(const store_operation_t *operation, unsigned index) {
+bool store_operation_awaits(const store_operation_t *operation, unsigned index) {
     if (operation->request.type == REQUEST_CHAIN)
-        return (operation->widened || index == 0) && operation->verdicts[index] != SAID_NO;
-    return operation->durables[index] != SAID_YES;
+        return (operation->fanned_out || index == 0) && operation->verdicts[index] != REPLY_NO;
+    return operation->durable_replies[index] != REPLY_YES;
 }
 
-static void free_answers(store_operation_t *operation) {
+static void free_replies(store_operation_t *operation) {
     if (operation->verdicts == NULL)
         return;
     g_free(operation->verdicts);
-    g_free(operation->durables);
-    g_free(operation->charges_read);
-    g_free(operation->rooms);
+    g_free(operation->durable_replies);
+    g_free(operation->charge_replies);
+    g_free(operation->space_replies);
     g_free(operation->summaries);
-    budget_table_clear(&operation->joined);
+    budget_table_clear(&operation->merged_charges);
 }
 
 void store_operation_restart(store_operation_t *operation) {
     store_client_t *client = operation->client;
     unsigned count = client->members->len;
     operation->generation = client->group->generation;
-    free_answers(operation);
-    /* One more, so that there is something to point to without any member. */
-    operation->verdicts = (said_t *)g_new0(said_t, count + 1);
-    operation->durables = (said_t *)g_new0(said_t, count + 1);
-    operation->charges_read = (said_t *)g_new0(said_t, count + 1);
-    operation->rooms = (said_t *)g_new0(said_t, count + 1);
+    free_replies(operation);
+    /* One extra element, so that the arrays are not NULL in an empty group. */
+    operation->verdicts = (reply_t *)g_new0(reply_t, count + 1);
+    operation->durable_replies = (reply_t *)g_new0(reply_t, count + 1);
+    operation->charge_replies = (reply_t *)g_new0(reply_t, count + 1);
+    operation->space_replies = (reply_t *)g_new0(reply_t, count + 1);
     operation->summaries = g_new0(budget_summary_t, count + 1);
     operation->reading_charges = false;
-    budget_table_init(&operation->joined);
+    budget_table_init(&operation->merged_charges);
     for (unsigned i = 0; i < count; i++)
-        if (store_operation_wants(operation, i))
+        if (store_operation_awaits(operation, i))
             store_operation_send(operation, g_ptr_array_index(client->members, i));
 }
 
 /* Counting. */
 
-static unsigned count(const store_operation_t *operation, const said_t *said, said_t wanted) {
+static unsigned count_replies(const store_operation_t *operation, const reply_t *replies,
+                              reply_t wanted) {
     unsigned found = 0;
     for (guint i = 0; i < operation->client->members->len; i++)
-        found += said[i] == wanted;
+        found += replies[i] == wanted;
     return found;
 }
 
@@ -85,8 +86,8 @@
     handler->on_durable(owner, durable);
 }
 
-/** Asks those that took the reserve for the program's charges. */
-static void begin_reading_charges(store_operation_t *operation) {
+/** Requests the program's charges from the members that accepted the reserve. */
+static void request_charges(store_operation_t *operation) {
     store_client_t *client = operation->client;
     operation->reading_charges = true;
     message_t request;
@@ -97,7 +98,7 @@
     GBytes *bytes = message_encode(&request);
     for (guint i = 0; i < client->members->len; i++) {
         const member_t *member = g_ptr_array_index(client->members, i);
-        if (operation->verdicts[i] == SAID_YES && member->link->open)
+        if (operation->verdicts[i] == REPLY_YES && member->link->open)
             store_link_send(member->link, g_bytes_ref(bytes));
     }
     g_bytes_unref(bytes);
@@ -106,45 +107,46 @@
 
 bool store_operation_has_room(const store_operation_t *operation) {
     unsigned members = operation->client->members->len;
-    return count(operation, operation->rooms, SAID_NO) <= members - store_write_quorum(members);
+    return count_replies(operation, operation->space_replies, REPLY_NO) <=
+           members - store_write_quorum(members);
 }
 
 /**
- * True once a write quorum has said that it has room. Those that have said nothing may have none: a
- * member that was behind said that it had room, two had none, and a granted turn was run and lost.
+ * True once a write quorum has confirmed free space. A missing reply is not taken for free space,
+ * so that a granted turn does not run and then fail to be stored.
  */
-static bool room_is_sure(const store_operation_t *operation) {
+static bool space_is_confirmed(const store_operation_t *operation) {
     unsigned quorum = store_write_quorum(operation->client->members->len);
-    return count(operation, operation->rooms, SAID_YES) >= quorum;
+    return count_replies(operation, operation->space_replies, REPLY_YES) >= quorum;
 }
 
 static budget_decision_t decide_reserve(store_operation_t *operation) {
     unsigned members = operation->client->members->len;
     unsigned quorum = store_write_quorum(members);
-    if (count(operation, operation->charges_read, SAID_YES) >= quorum) {
+    if (count_replies(operation, operation->charge_replies, REPLY_YES) >= quorum) {
         uint64_t charged =
-            budget_table_charged(&operation->joined, operation->request.charge.program);
+            budget_table_charged(&operation->merged_charges, operation->request.charge.program);
         return charged <= operation->budget ? BUDGET_GRANTED : BUDGET_REFUSED;
     }
     GArray *summaries = g_array_new(FALSE, FALSE, sizeof(budget_summary_t));
     for (unsigned i = 0; i < members; i++)
-        if (operation->verdicts[i] == SAID_YES)
+        if (operation->verdicts[i] == REPLY_YES)
             g_array_append_val(summaries, operation->summaries[i]);
     budget_decision_t decision = budget_decide((const budget_summary_t *)summaries->data,
                                                summaries->len, quorum, operation->budget);
     bool enough = summaries->len >= quorum;
     g_array_free(summaries, TRUE);
     if (decision == BUDGET_UNDECIDED && enough && !operation->reading_charges)
-        begin_reading_charges(operation);
+        request_charges(operation);
     return decision;
 }
 
-/** Unsure until both the budget and the room are decided. */
+/** Unsure until both the budget is decided and the free space is confirmed. */
 static verdict_t reserve_verdict(store_operation_t *operation) {
     budget_decision_t decision = decide_reserve(operation);
     if (decision == BUDGET_REFUSED)
         return VERDICT_NO;
-    bool granted = decision == BUDGET_GRANTED && room_is_sure(operation);
+    bool granted = decision == BUDGET_GRANTED && space_is_confirmed(operation);
     return granted ? VERDICT_YES : VERDICT_UNSURE;
 }
 
@@ -157,52 +159,52 @@
         if (undecided)
             return;
         report_verdict(operation, verdict, NULL);
-        /* The owner may have ended it. */
+        /* The callback may have cancelled the operation. */
         operation = g_hash_table_lookup(client->operations, &number);
     }
     if (operation == NULL || !operation->granted)
         return;
     unsigned quorum = store_write_quorum(client->members->len);
-    if (count(operation, operation->durables, SAID_YES) >= quorum)
+    if (count_replies(operation, operation->durable_replies, REPLY_YES) >= quorum)
         report_durable(operation, true);
 }
 
-static void log_turn_not_kept(const store_operation_t *operation) {
-    unsigned complete = count(operation, operation->durables, SAID_YES);
-    unsigned incomplete = count(operation, operation->durables, SAID_UNSURE);
-    unsigned refused = count(operation, operation->durables, SAID_NO);
-    unsigned silent = count(operation, operation->durables, SAID_NOTHING);
+static void log_turn_not_stored(const store_operation_t *operation) {
+    unsigned complete = count_replies(operation, operation->durable_replies, REPLY_YES);
+    unsigned incomplete = count_replies(operation, operation->durable_replies, REPLY_UNSURE);
+    unsigned refused = count_replies(operation, operation->durable_replies, REPLY_NO);
+    unsigned unanswered = count_replies(operation, operation->durable_replies, REPLY_NONE);
     const turn_t *turn = &g_array_index(operation->request.turns, turn_t, 0);
-    event_log(GATEWAY_TURN_NOT_KEPT, turn->id, complete, incomplete, refused, silent);
+    event_log(GATEWAY_TURN_NOT_KEPT, turn->id, complete, incomplete, refused, unanswered);
 }
 
 static void evaluate_turn(store_operation_t *operation) {
     unsigned members = operation->client->members->len;
     unsigned quorum = store_write_quorum(members);
-    unsigned complete = count(operation, operation->durables, SAID_YES);
-    unsigned copies = complete + count(operation, operation->durables, SAID_UNSURE);
+    unsigned complete = count_replies(operation, operation->durable_replies, REPLY_YES);
+    unsigned copies = complete + count_replies(operation, operation->durable_replies, REPLY_UNSURE);
     if (store_turn_durable(members, copies, complete))
         report_durable(operation, true);
-    else if (count(operation, operation->durables, SAID_NO) > members - quorum) {
-        log_turn_not_kept(operation);
+    else if (count_replies(operation, operation->durable_replies, REPLY_NO) > members - quorum) {
+        log_turn_not_stored(operation);
         report_durable(operation, false);
     }
 }
 
-static void widen_chain(store_operation_t *operation) {
-    if (operation->widened)
+static void fan_out_chain(store_operation_t *operation) {
+    if (operation->fanned_out)
         return;
-    operation->widened = true;
+    operation->fanned_out = true;
     for (guint i = 1; i < operation->client->members->len; i++)
         store_operation_send(operation, g_ptr_array_index(operation->client->members, i));
 }
 
 static void evaluate_chain(store_operation_t *operation) {
     unsigned members = operation->client->members->len;
-    if (count(operation, operation->verdicts, SAID_NO) >= store_absence_quorum(members))
+    if (count_replies(operation, operation->verdicts, REPLY_NO) >= store_absence_quorum(members))
         report_verdict(operation, VERDICT_NO, NULL);
-    else if (operation->verdicts[0] != SAID_NOTHING)
-        widen_chain(operation);
+    else if (operation->verdicts[0] != REPLY_NONE)
+        fan_out_chain(operation);
 }
 
 static void evaluate(store_operation_t *operation) {
@@ -216,25 +218,26 @@
         evaluate_chain(operation);
 }
 
-static void take_charges(store_operation_t *operation, unsigned index, const message_t *message) {
-    if (operation->verdicts[index] != SAID_YES)
+static void merge_charges(store_operation_t *operation, unsigned index, const message_t *message) {
+    if (operation->verdicts[index] != REPLY_YES)
         return;
     for (guint i = 0; i < message->charges->len; i++)
-        budget_table_merge(&operation->joined, &g_array_index(message->charges, budget_charge_t, i),
-                           0);
-    operation->charges_read[index] = SAID_YES;
+        budget_table_merge(&operation->merged_charges,
+                           &g_array_index(message->charges, budget_charge_t, i), 0);
+    operation->charge_replies[index] = REPLY_YES;
 }
 
 /**
- * A member that refuses a reserve has no room for it, and one that takes it may have none for a
- * turn. One that is not complete takes no reserve, but keeps turns: its copy counts if it has room.
+ * Records whether a member has space for the reserve and, if requested, for the turn. A refusal
+ * means no space. A member that is still catching up is unsure of the reserve but stores turns, so
+ * its free space counts.
  */
-static void note_room(store_operation_t *operation, unsigned index, const message_t *message) {
+static void record_space(store_operation_t *operation, unsigned index, const message_t *message) {
     if (message->verdict == VERDICT_UNSURE && !message->room)
         return;
     bool taken = message->verdict != VERDICT_NO;
-    bool room = taken && (message->room || !operation->keeps);
-    operation->rooms[index] = room ? SAID_YES : SAID_NO;
+    bool has_space = taken && (message->room || !operation->stores_turn);
+    operation->space_replies[index] = has_space ? REPLY_YES : REPLY_NO;
 }
 
 bool store_operation_take_answer(const member_t *member, const message_t *message) {
@@ -242,35 +245,35 @@
     store_operation_t *operation = g_hash_table_lookup(client->operations, &message->number);
     if (operation == NULL)
         return false;
-    /* An answer given in an earlier generation counts for nothing in this one. */
+    /* Replies of an earlier generation are ignored. */
     if (message->type != RESPONSE_OLD_GENERATION && message->generation != operation->generation)
         return true;
     unsigned index = store_client_member_index(client, member);
-    static const said_t said_by_verdict[VERDICT_COUNT] = {SAID_YES, SAID_NO, SAID_UNSURE};
-    said_t said = said_by_verdict[message->verdict];
+    static const reply_t reply_by_verdict[VERDICT_COUNT] = {REPLY_YES, REPLY_NO, REPLY_UNSURE};
+    reply_t reply = reply_by_verdict[message->verdict];
     switch (message->type) {
     case RESPONSE_CHAIN:
-        if (said == SAID_YES) {
+        if (reply == REPLY_YES) {
             report_verdict(operation, VERDICT_YES, message->turns);
             return true;
         }
-        operation->verdicts[index] = said;
+        operation->verdicts[index] = reply;
         break;
     case RESPONSE_RESERVE:
-        operation->verdicts[index] = said;
-        note_room(operation, index, message);
+        operation->verdicts[index] = reply;
+        record_space(operation, index, message);
         operation->summaries[index] = message->summary;
         if (message->place != 0)
-            operation->place = message->place;
+            operation->last_engine = message->place;
         break;
     case RESPONSE_CHARGES:
-        take_charges(operation, index, message);
+        merge_charges(operation, index, message);
         break;
     case RESPONSE_DURABLE:
-        operation->durables[index] = said;
+        operation->durable_replies[index] = reply;
         break;
     case RESPONSE_OLD_GENERATION:
-        operation->verdicts[index] = SAID_UNSURE;
+        operation->verdicts[index] = REPLY_UNSURE;
         break;
     default:
         return true;
@@ -284,7 +287,7 @@
 static void free_operation(uv_handle_t *handle) {
     store_operation_t *operation = handle->data;
     message_clear(&operation->request);
-    free_answers(operation);
+    free_replies(operation);
     g_free(operation);
 }
 
@@ -298,11 +301,11 @@
     end_operation(operation);
 }
 
-static void give_up(store_operation_t *operation) {
+static void expire_operation(store_operation_t *operation) {
     bool turn = operation->request.type == REQUEST_PUT_TURN;
     bool verdict_due = !turn && !operation->granted;
     if (turn)
-        log_turn_not_kept(operation);
+        log_turn_not_stored(operation);
     if (verdict_due)
         report_verdict(operation, VERDICT_UNSURE, NULL);
     else
@@ -319,7 +322,7 @@
         if (operation->request.type != REQUEST_PUT_TURN && !operation->granted)
             g_array_append_val(numbers, operation->number);
     }
-    /* The end of one may end others, of the same call. */
+    /* A callback may cancel other operations of the same call. */
     for (guint i = 0; i < numbers->len; i++) {
         store_operation_t *operation =
             g_hash_table_lookup(client->operations, &g_array_index(numbers, uint64_t, i));
@@ -332,57 +335,57 @@
 static void on_operation_timer(uv_timer_t *timer) {
     store_operation_t *operation = timer->data;
     store_client_t *client = operation->client;
-    if (uv_now(client->loop) >= operation->begun_at + GATEWAY_WRITE_MS) {
-        give_up(operation);
+    if (uv_now(client->loop) >= operation->started_at + GATEWAY_WRITE_MS) {
+        expire_operation(operation);
         return;
     }
     if (operation->request.type == REQUEST_CHAIN)
-        widen_chain(operation);
+        fan_out_chain(operation);
     for (guint i = 0; i < client->members->len; i++) {
         bool unsure =
-            operation->verdicts[i] == SAID_UNSURE || operation->durables[i] == SAID_UNSURE;
-        if (!unsure || !store_operation_wants(operation, i))
+            operation->verdicts[i] == REPLY_UNSURE || operation->durable_replies[i] == REPLY_UNSURE;
+        if (!unsure || !store_operation_awaits(operation, i))
             continue;
-        operation->verdicts[i] = SAID_NOTHING;
+        operation->verdicts[i] = REPLY_NONE;
         store_operation_send(operation, g_ptr_array_index(client->members, i));
     }
 }
 
-static store_operation_t *begin_operation(store_client_t *client, message_type_t type,
+static store_operation_t *start_operation(store_client_t *client, message_type_t type,
                                           const store_operation_handler_t *handler, void *owner) {
     store_operation_t *operation = g_new0(store_operation_t, 1);
     operation->client = client;
     operation->number = ++client->last_number;
-    operation->begun_at = uv_now(client->loop);
+    operation->started_at = uv_now(client->loop);
     operation->handler = handler;
     operation->owner = owner;
     message_init(&operation->request, type);
     operation->request.number = operation->number;
     g_hash_table_insert(client->operations, &operation->number, operation);
-    store_silence_note_operation(client);
+    store_health_on_operation_start(client);
     uv_timer_init(client->loop, &operation->timer);
     operation->timer.data = operation;
-    uint64_t first = type == REQUEST_CHAIN ? CHAIN_WIDEN_MS : UNSURE_AGAIN_MS;
-    uv_timer_start(&operation->timer, on_operation_timer, first, UNSURE_AGAIN_MS);
+    uint64_t first = type == REQUEST_CHAIN ? CHAIN_FANOUT_DELAY_MS : UNSURE_RETRY_INTERVAL_MS;
+    uv_timer_start(&operation->timer, on_operation_timer, first, UNSURE_RETRY_INTERVAL_MS);
     return operation;
 }
 
 store_operation_t *store_client_reserve(store_client_t *client, const char *program,
-                                        const char *call, uint64_t most, uint64_t budget,
-                                        bool keeps, const store_operation_handler_t *handler,
+                                        const char *call, uint64_t max_tokens, uint64_t budget,
+                                        bool stores_turn, const store_operation_handler_t *handler,
                                         void *owner) {
-    store_operation_t *operation = begin_operation(client, REQUEST_RESERVE, handler, owner);
+    store_operation_t *operation = start_operation(client, REQUEST_RESERVE, handler, owner);
     operation->request.charge.program = g_strdup(program);
     operation->request.charge.call = g_strdup(call);
-    operation->request.charge.most = most;
+    operation->request.charge.most = max_tokens;
     operation->budget = budget;
-    operation->keeps = keeps;
+    operation->stores_turn = stores_turn;
     store_operation_restart(operation);
     return operation;
 }
 
 uint64_t store_operation_place(const store_operation_t *operation) {
-    return operation->place;
+    return operation->last_engine;
 }
 
 bool store_operation_begun(const store_operation_t *operation) {
@@ -394,7 +397,7 @@
 
 store_operation_t *store_client_put_turn(store_client_t *client, const turn_t *turn,
                                          const store_operation_handler_t *handler, void *owner) {
-    store_operation_t *operation = begin_operation(client, REQUEST_PUT_TURN, handler, owner);
+    store_operation_t *operation = start_operation(client, REQUEST_PUT_TURN, handler, owner);
     message_add_turn(&operation->request, turn);
     store_operation_restart(operation);
     return operation;
@@ -402,20 +405,20 @@
 
 store_operation_t *store_client_read_chain(store_client_t *client, const char *turn_id,
                                            const store_operation_handler_t *handler, void *owner) {
-    store_operation_t *operation = begin_operation(client, REQUEST_CHAIN, handler, owner);
+    store_operation_t *operation = start_operation(client, REQUEST_CHAIN, handler, owner);
     operation->request.turn_id = g_strdup(turn_id);
     store_operation_restart(operation);
     return operation;
 }
 
 void store_client_settle(store_client_t *client, const char *program, const char *call,
-                         uint64_t most, uint64_t spent) {
+                         uint64_t max_tokens, uint64_t spent) {
     message_t request;
     message_init(&request, REQUEST_SETTLE);
     request.charge = (budget_charge_t){
         .program = g_strdup(program),
         .call = g_strdup(call),
-        .most = most,
+        .most = max_tokens,
         .spent = spent,
         .settled = true,
     };
@@ -424,7 +427,7 @@
         member_t *member = g_ptr_array_index(client->members, i);
         if (member->link->open)
             store_link_send(member->link, g_bytes_ref(bytes));
-        else if (member->backlog->len < BACKLOG_MAXIMUM)
+        else if (member->backlog->len < BACKLOG_MAX)
             g_ptr_array_add(member->backlog, g_bytes_ref(bytes));
     }
     g_bytes_unref(bytes);
--- a/src/gateway/store_relay.c
+++ b/src/gateway/store_relay.c
@@ -3,45 +3,45 @@
 #include "common/event.h"
 #include "net/frame_connection.h"
 
-/** Bytes that may wait for one side; beyond it both connections end. */
-enum { BACKLOG_MOST_BYTES = 4 * 1024 * 1024 };
+/** Send queue limit of either side; a session that exceeds it is closed. */
+enum { BACKLOG_MAX_BYTES = 4 * 1024 * 1024 };
 
-/** One gateway's way through here. */
+/** An incoming connection and, if relayed, its counterpart to a storage node. */
 typedef struct {
     store_relay_t *relay;
-    frame_connection_t *gateway; /**< The connection that asked. */
-    frame_connection_t *store;   /**< To the storage node; NULL before it is named. */
-    bool follows;                /**< It asked to follow the directory instead. */
-} relayed_t;
+    frame_connection_t *gateway; /**< The incoming connection. */
+    frame_connection_t *store;   /**< To the storage node; NULL until it has been named. */
+    bool following;              /**< Follows the directory; not relayed. */
+} relay_session_t;
 
 struct store_relay {
     uv_loop_t *loop;
     store_client_t *stores;
     directory_feed_t *feed;
     frame_listener_t *listener;
-    GHashTable *relayed; /**< Serial number of the asking connection to relayed_t. */
+    GHashTable *sessions; /**< Serial number of the incoming connection to relay_session_t. */
 };
 
-static void end_relayed(relayed_t *relayed) {
-    const uint64_t *serial = frame_connection_serial(relayed->gateway);
-    if (relayed->follows)
-        directory_feed_remove(relayed->relay->feed, serial);
-    g_hash_table_remove(relayed->relay->relayed, serial);
-    frame_connection_close(relayed->gateway);
-    if (relayed->store != NULL)
-        frame_connection_close(relayed->store);
-    g_free(relayed);
+static void close_session(relay_session_t *session) {
+    const uint64_t *serial = frame_connection_serial(session->gateway);
+    if (session->following)
+        directory_feed_remove(session->relay->feed, serial);
+    g_hash_table_remove(session->relay->sessions, serial);
+    frame_connection_close(session->gateway);
+    if (session->store != NULL)
+        frame_connection_close(session->store);
+    g_free(session);
 }
 
-static void pass_on(relayed_t *relayed, frame_connection_t *to, const uint8_t *data,
-                    size_t length) {
-    if (frame_connection_backlog(to) > BACKLOG_MOST_BYTES)
-        end_relayed(relayed);
+static void forward_frame(relay_session_t *session, frame_connection_t *to, const uint8_t *data,
+                          size_t length) {
+    if (frame_connection_backlog(to) > BACKLOG_MAX_BYTES)
+        close_session(session);
     else
         frame_connection_send(to, g_bytes_new(data, length));
 }
 
-/* The storage node's side. */
+/* Connections to storage nodes. */
 
 static void on_store_open(void *owner, frame_connection_t *connection) {
     (void)owner;
@@ -50,50 +50,51 @@
 
 static void on_store_frame(void *owner, frame_connection_t *connection, const uint8_t *data,
                            size_t length) {
-    relayed_t *relayed = owner;
+    relay_session_t *session = owner;
     (void)connection;
-    pass_on(relayed, relayed->gateway, data, length);
+    forward_frame(session, session->gateway, data, length);
 }
 
 static void on_store_closed(void *owner, frame_connection_t *connection) {
-    relayed_t *relayed = owner;
+    relay_session_t *session = owner;
     (void)connection;
-    relayed->store = NULL;
-    end_relayed(relayed);
+    session->store = NULL;
+    close_session(session);
 }
 
 static const frame_handler_t store_handler = {on_store_open, on_store_frame, on_store_closed};
 
-/* The other gateway's side. */
+/* Incoming connections. */
 
-static void begin_relayed(relayed_t *relayed, const message_t *message) {
-    store_relay_t *relay = relayed->relay;
+static void start_session(relay_session_t *session, const message_t *message) {
+    store_relay_t *relay = session->relay;
     const char *name = message->ids->len == 1 ? g_ptr_array_index(message->ids, 0) : "";
     struct sockaddr_in address;
     bool reached = store_client_reaches(relay->stores, name, &address);
     event_log(GATEWAY_RELAY, name, reached ? "begun" : "refused");
     if (reached)
-        relayed->store = frame_connection_open(relay->loop, &address, &store_handler, relayed);
-    if (relayed->store == NULL)
-        end_relayed(relayed);
+        session->store = frame_connection_open(relay->loop, &address, &store_handler, session);
+    if (session->store == NULL)
+        close_session(session);
 }
 
 static void on_open(void *owner, frame_connection_t *connection) {
     store_relay_t *relay = owner;
-    relayed_t *relayed = g_new0(relayed_t, 1);
-    relayed->relay = relay;
-    relayed->gateway = connection;
-    g_hash_table_insert(relay->relayed, (gpointer)frame_connection_serial(connection), relayed);
+    relay_session_t *session = g_new0(relay_session_t, 1);
+    session->relay = relay;
+    session->gateway = connection;
+    g_hash_table_insert(relay->sessions, (gpointer)frame_connection_serial(connection), session);
 }
 
 static void on_frame(void *owner, frame_connection_t *connection, const uint8_t *data,
                      size_t length) {
     const store_relay_t *relay = owner;
-    relayed_t *relayed = g_hash_table_lookup(relay->relayed, frame_connection_serial(connection));
-    if (relayed == NULL)
+    relay_session_t *session =
+        g_hash_table_lookup(relay->sessions, frame_connection_serial(connection));
+    if (session == NULL)
         return;
-    if (relayed->store != NULL) {
-        pass_on(relayed, relayed->store, data, length);
+    if (session->store != NULL) {
+        forward_frame(session, session->store, data, length);
         return;
     }
     message_t message;
@@ -101,24 +102,25 @@
     if (valid && message.type == MESSAGE_GROUP)
         store_client_take_group(relay->stores, &message);
     if (valid && message.type == MESSAGE_RELAY) {
-        begin_relayed(relayed, &message);
+        start_session(session, &message);
     } else if (valid && message.type == REQUEST_FOLLOW && relay->feed != NULL &&
-               !relayed->follows) {
-        relayed->follows =
+               !session->following) {
+        session->following =
             directory_feed_add(relay->feed, connection, message.revision, message.view);
-        if (!relayed->follows)
-            end_relayed(relayed);
+        if (!session->following)
+            close_session(session);
     } else {
-        end_relayed(relayed);
+        close_session(session);
     }
     message_clear(&message);
 }
 
 static void on_closed(void *owner, frame_connection_t *connection) {
     const store_relay_t *relay = owner;
-    relayed_t *relayed = g_hash_table_lookup(relay->relayed, frame_connection_serial(connection));
-    if (relayed != NULL)
-        end_relayed(relayed);
+    relay_session_t *session =
+        g_hash_table_lookup(relay->sessions, frame_connection_serial(connection));
+    if (session != NULL)
+        close_session(session);
 }
 
 static const frame_handler_t gateway_handler = {on_open, on_frame, on_closed};
@@ -129,11 +131,11 @@
     relay->loop = loop;
     relay->stores = stores;
     relay->feed = feed;
-    relay->relayed = g_hash_table_new(g_int64_hash, g_int64_equal);
+    relay->sessions = g_hash_table_new(g_int64_hash, g_int64_equal);
     relay->listener = frame_listener_open(loop, address, &gateway_handler, relay);
     if (relay->listener != NULL)
         return relay;
-    g_hash_table_destroy(relay->relayed);
+    g_hash_table_destroy(relay->sessions);
     g_free(relay);
     return NULL;
 }
@@ -142,8 +144,8 @@
     unsigned count = 0;
     GHashTableIter iterator;
     gpointer value;
-    g_hash_table_iter_init(&iterator, relay->relayed);
+    g_hash_table_iter_init(&iterator, relay->sessions);
     while (g_hash_table_iter_next(&iterator, NULL, &value))
-        count += !((const relayed_t *)value)->follows;
+        count += !((const relay_session_t *)value)->following;
     return count;
 }
--- a/src/gateway/store_relay.h
+++ b/src/gateway/store_relay.h
@@ -1,18 +1,16 @@
 /**
  * @file store_relay.h
- * Passes frames between a gateway that is cut off from the storage nodes and a storage node to
- * which this gateway is connected itself. The other gateway connects to this one's peer address and
- * names the storage node in its first frame; from then on every frame goes on as it is.
+ * Relays frames between a gateway that cannot reach a storage node and that node, to which this
+ * gateway is connected directly. The other gateway connects to this one's peer address and names
+ * the storage node in its first frame; all later frames are forwarded unchanged.
  *
- * A gateway that wants to follow this one's view of the key-value service connects here as well;
- * see directory_feed.h.
+ * The peer address also accepts gateways that follow this one's view of the key-value service (see
+ * directory_feed.h), and storage nodes that send their group, for a gateway that started while the
+ * key-value service was unavailable.
  *
- * A storage node connects here too, to tell its group to a gateway that may have started while the
- * key-value service is away, and would not find the storage nodes by itself.
- *
- * Failures. If this gateway has no connection of its own to that node, or either side ends or does
- * not read, both connections are closed: the other gateway tries another way. A relay leads to
- * storage nodes of the group only.
+ * Failures: if this gateway is not directly connected to the storage node, or if either side closes
+ * or stops reading, both connections are closed and the other gateway takes another path. Frames
+ * are relayed to storage nodes of the group only.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -25,12 +23,12 @@
 typedef struct store_relay store_relay_t;
 
 /**
- * Listens at @p address; gateways that ask to follow are given to @p feed (NULL: refused).
- * NULL if it can't.
+ * Listens at @p address; gateways that follow are added to @p feed (NULL: refused). Returns NULL if
+ * listening fails.
  */
 store_relay_t *store_relay_open(uv_loop_t *loop, const struct sockaddr_in *address,
                                 store_client_t *stores, directory_feed_t *feed);
-/** Gateways' connections to storage nodes that go through here now. */
+/** Number of connections now relayed, those not yet assigned to a storage node included. */
 unsigned store_relay_count(const store_relay_t *relay);
 
 #endif
