--- a/src/gateway/quota_client.c
+++ b/src/gateway/quota_client.c
@@ -7,63 +7,62 @@
 #include <xxhash.h>
 
 enum {
-    ANSWER_MS = 100,   /**< A member that has not answered by then is passed over, */
-    SILENT_MS = 1000,  /**< for so long. The usual way there and back takes 1 to 4 ms. */
-    PATIENCE_MS = 100, /**< A call waits so long for a token that it is sure to get. */
-    /** One of a program under way, since all that it has had would be lost; members promise no
-     * more than quota_split_promise_ms. */
-    BEGUN_PATIENCE_MS = 1000,
-    PATIENCE_PART = 4, /**< But no longer than this part of the call's time. */
-    /** A member that has never answered a program's call is not asked again for so long, twice as
-     * long each time: an earlier version drops such a request, but one may also be late. */
-    OLD_MS = 1000,
-    OLD_MOST_MS = 60000,
-    SPREAD_MS = 100, /**< Callers that are over the limit come back over at least so long. */
-    SPREAD_MOST_MS = 1000,
-    TENANTS_MAXIMUM = 10000, /**< What is known of them is forgotten beyond. */
-    GRANTS_KEPT_MOST = 64,   /**< Unused grants of one tenant. */
+    RESPONSE_TIMEOUT_MS = 100,
+    UNRESPONSIVE_SKIP_MS = 1000, /**< A member that timed out is skipped for this time. */
+    TOKEN_WAIT_MS = 100,         /**< Longest wait of a call for a promised token. */
+    /** The same for a started program, whose work a refusal would waste; members promise tokens
+     * no further ahead than quota_split_promise_ms. */
+    STARTED_TOKEN_WAIT_MS = 1000,
+    TOKEN_WAIT_DIVISOR = 4, /**< Limits the wait to a fraction of the call's remaining time. */
+    /** Exponential backoff of program requests to a member that has never answered one: an earlier
+     * version drops them, but the response may also have been late. */
+    LEGACY_BACKOFF_MIN_MS = 1000,
+    LEGACY_BACKOFF_MAX_MS = 60000,
+    JITTER_MIN_MS = 100, /**< Bounds of the jitter of retry-after. */
+    JITTER_MAX_MS = 1000,
+    TENANTS_MAX = 10000,    /**< All states are discarded beyond this. */
+    UNUSED_GRANTS_MAX = 64, /**< Per tenant. */
 };
 
-/** What is known of one tenant. */
 typedef struct {
-    uint64_t generation; /**< Of the group that the arrays are for. */
+    uint64_t generation; /**< Of the group that the arrays describe. */
     unsigned count;
-    uint64_t *ranks;       /**< By member: the tenant's ranking of them. */
-    uint64_t *empty_until; /**< By member. */
-    GArray *unused;        /**< Of uint64_t: ends of grants that no call needed. */
+    uint64_t *ranks;       /**< By member: its rank for the tenant. */
+    uint64_t *empty_until; /**< By member: out of tokens until then. */
+    GArray *unused;        /**< Of uint64_t: expiry times of unused grants. */
 } tenant_state_t;
 
 struct quota_client {
     uv_loop_t *loop;
     store_client_t *stores;
     quota_bounds_t bounds;
-    GHashTable *tenants; /**< Name to tenant_state_t. */
-    GHashTable *asks;    /**< Number of the request under way to its quota_ask_t. */
-    GHashTable *silent;  /**< Name of a member to the time until which it is passed over. */
-    GHashTable *knowing; /**< Names of members that have answered a program's call. */
-    GHashTable *old;     /**< Name of a member to the time until which it isn't asked for one, */
-    GHashTable *old_ms;  /**< and to how long that was, in ms. */
+    GHashTable *tenants;            /**< Name to tenant_state_t. */
+    GHashTable *pending;            /**< Number of the outstanding message to its quota_ask_t. */
+    GHashTable *unresponsive_until; /**< Member name to the end of its skip time. */
+    GHashTable *program_aware;      /**< Names of members that have answered a program request. */
+    GHashTable *legacy_until;       /**< Member name to the end of its backoff, */
+    GHashTable *legacy_backoff_ms;  /**< and to the backoff's length. */
     uint64_t requests;
 };
 
 struct quota_ask {
     quota_client_t *client;
     uv_timer_t timer;
-    uint64_t number; /**< Of the request under way. */
-    uint64_t asked_at;
-    bool patient;     /**< It has asked for a token that comes later. */
-    uint64_t granted; /**< Such a token is waited for; the end of its grant. */
+    uint64_t number; /**< Of the outstanding message. */
+    uint64_t requested_at;
+    bool waiting_for_token; /**< A token promised for later was requested. */
+    uint64_t granted;       /**< Expiry of the promised token's grant; 0: none promised. */
     unsigned member;
     char *tenant;
     quota_limit_t limit;
     uint64_t generation;
-    bool *asked;   /**< By member: in vain. */
-    char *program; /**< NULL: a plain call, or one that its home has let go on. */
+    bool *tried;   /**< By member: it granted nothing. */
+    char *program; /**< NULL: no program, or its home's stage is over. */
     uint64_t kind;
     bool begun;
     bool late;
-    bool at_home; /**< The request under way names the program. */
-    uint32_t patience_ms;
+    bool at_home; /**< The outstanding message was sent to the home. */
+    uint32_t token_wait_ms;
     quota_done_t done;
     void *owner;
 };
@@ -89,7 +88,7 @@
 static tenant_state_t *find_tenant(quota_client_t *client, const char *name) {
     tenant_state_t *state = g_hash_table_lookup(client->tenants, name);
     if (state == NULL) {
-        if (g_hash_table_size(client->tenants) >= TENANTS_MAXIMUM)
+        if (g_hash_table_size(client->tenants) >= TENANTS_MAX)
             g_hash_table_remove_all(client->tenants);
         state = g_new0(tenant_state_t, 1);
         state->unused = g_array_new(FALSE, FALSE, sizeof(uint64_t));
@@ -108,8 +107,8 @@
     return state;
 }
 
-/** Takes an unused grant that has not ended; 0 if there is none. */
-static uint64_t take_unused(const tenant_state_t *state, uint64_t now) {
+/** Removes an unused grant that has not expired and returns its expiry; 0: none. */
+static uint64_t take_unused_grant(const tenant_state_t *state, uint64_t now) {
     while (state->unused->len > 0) {
         uint64_t until = g_array_index(state->unused, uint64_t, state->unused->len - 1);
         g_array_set_size(state->unused, state->unused->len - 1);
@@ -119,47 +118,48 @@
     return 0;
 }
 
-/* Asking. */
+/* Requests. */
 
-/** True if @p times has a time for the member that is still to come. */
-static bool is_before(const quota_client_t *client, GHashTable *times, unsigned member) {
+/** True if the member's time in @p times is in the future. */
+static bool is_deadline_pending(const quota_client_t *client, GHashTable *times, unsigned member) {
     const char *name = store_client_member_name(client->stores, member);
     const uint64_t *until = g_hash_table_lookup(times, name);
     return until != NULL && uv_now(client->loop) < *until;
 }
 
-static bool is_silent(const quota_client_t *client, unsigned member) {
-    return is_before(client, client->silent, member);
+static bool is_unresponsive(const quota_client_t *client, unsigned member) {
+    return is_deadline_pending(client, client->unresponsive_until, member);
 }
 
-static void note_until(const quota_client_t *client, GHashTable *times, unsigned member,
-                       uint32_t ms) {
+static void record_until(const quota_client_t *client, GHashTable *times, unsigned member,
+                         uint32_t ms) {
     uint64_t *until = g_new(uint64_t, 1);
     *until = uv_now(client->loop) + ms;
     g_hash_table_replace(times, g_strdup(store_client_member_name(client->stores, member)), until);
 }
 
-static void note_old(const quota_client_t *client, unsigned member) {
+static void mark_legacy(const quota_client_t *client, unsigned member) {
     const char *name = store_client_member_name(client->stores, member);
-    const uint32_t *last_ms = g_hash_table_lookup(client->old_ms, name);
-    uint32_t ms = last_ms == NULL ? OLD_MS : MIN(2 * *last_ms, OLD_MOST_MS);
-    g_hash_table_replace(client->old_ms, g_strdup(name), g_memdup2(&ms, sizeof ms));
-    note_until(client, client->old, member, ms);
+    const uint32_t *last_ms = g_hash_table_lookup(client->legacy_backoff_ms, name);
+    uint32_t ms =
+        last_ms == NULL ? LEGACY_BACKOFF_MIN_MS : MIN(2 * *last_ms, LEGACY_BACKOFF_MAX_MS);
+    g_hash_table_replace(client->legacy_backoff_ms, g_strdup(name), g_memdup2(&ms, sizeof ms));
+    record_until(client, client->legacy_until, member, ms);
 }
 
 /**
- * A member has not answered in time. One that has never answered a program's call may be of an
- * earlier version, and is asked in the old way next, by this call too.
+ * Handles a response timeout. A member that has never answered a program request may run an earlier
+ * version: it is treated as legacy and stays eligible for this call's plain request.
  */
-static void note_unanswered(quota_ask_t *ask) {
-    const quota_client_t *client = ask->client;
-    const char *name = store_client_member_name(client->stores, ask->member);
-    bool old = ask->at_home && !g_hash_table_contains(client->knowing, name);
-    if (old)
-        note_old(client, ask->member);
+static void record_no_response(quota_ask_t *request) {
+    const quota_client_t *client = request->client;
+    const char *name = store_client_member_name(client->stores, request->member);
+    bool legacy = request->at_home && !g_hash_table_contains(client->program_aware, name);
+    if (legacy)
+        mark_legacy(client, request->member);
     else
-        note_until(client, client->silent, ask->member, SILENT_MS);
-    ask->asked[ask->member] = !old;
+        record_until(client, client->unresponsive_until, request->member, UNRESPONSIVE_SKIP_MS);
+    request->tried[request->member] = !legacy;
 }
 
 static void send_request(quota_client_t *client, unsigned member, message_t *message,
@@ -170,14 +170,14 @@
     store_client_send_member(client->stores, member, message);
 }
 
-/** What is known of the members, for one tenant; to be freed. */
+/** The candidate members for one tenant; free with g_free(). */
 static quota_member_t *list_members(quota_client_t *client, const tenant_state_t *state,
-                                    const bool *asked) {
+                                    const bool *tried) {
     quota_member_t *members = g_new0(quota_member_t, state->count + 1);
     for (unsigned i = 0; i < state->count; i++)
         members[i] = (quota_member_t){
-            .reachable = store_client_member_open(client->stores, i) && !is_silent(client, i),
-            .asked = asked != NULL && asked[i],
+            .reachable = store_client_member_open(client->stores, i) && !is_unresponsive(client, i),
+            .asked = tried != NULL && tried[i],
             .rank = state->ranks[i],
             .empty_until = state->empty_until[i],
         };
@@ -185,9 +185,9 @@
 }
 
 static quota_decision_t decide(quota_client_t *client, const char *tenant,
-                               const quota_limit_t *limit, const bool *asked) {
+                               const quota_limit_t *limit, const bool *tried) {
     const tenant_state_t *state = find_tenant(client, tenant);
-    quota_member_t *members = list_members(client, state, asked);
+    quota_member_t *members = list_members(client, state, tried);
     unsigned shares = quota_split_count(&client->bounds, limit, state->count);
     quota_decision_t decision =
         quota_choose(members, state->count, shares, uv_now(client->loop), g_random_int());
@@ -197,146 +197,146 @@
 
 static void on_timer(uv_timer_t *timer);
 
-/** When callers that were refused come back: when there is a token again, spread. */
-static uint32_t come_back_ms(uint32_t wait_ms) {
-    uint32_t spread = CLAMP(wait_ms, SPREAD_MS, SPREAD_MOST_MS);
-    return wait_ms + (uint32_t)g_random_int_range(0, (gint32)spread);
+/** Retry-after of a refused call: the time until the next token, plus jitter. */
+static uint32_t retry_after_ms(uint32_t wait_ms) {
+    uint32_t jitter = CLAMP(wait_ms, JITTER_MIN_MS, JITTER_MAX_MS);
+    return wait_ms + (uint32_t)g_random_int_range(0, (gint32)jitter);
 }
 
-/** Sends the ask's request to its member, and waits for the answer. */
-static void ask_member(quota_ask_t *ask, message_t *message) {
-    quota_client_t *client = ask->client;
-    ask->asked_at = uv_now(client->loop);
-    ask->number = store_client_next_number(client->stores);
-    message->number = ask->number;
-    g_hash_table_insert(client->asks, &ask->number, ask);
-    send_request(client, ask->member, message, ask->tenant, &ask->limit);
-    uv_timer_start(&ask->timer, on_timer, ANSWER_MS, 0);
+/** Sends @p message to the selected member and starts the response timeout. */
+static void send_to_member(quota_ask_t *request, message_t *message) {
+    quota_client_t *client = request->client;
+    request->requested_at = uv_now(client->loop);
+    request->number = store_client_next_number(client->stores);
+    message->number = request->number;
+    g_hash_table_insert(client->pending, &request->number, request);
+    send_request(client, request->member, message, request->tenant, &request->limit);
+    uv_timer_start(&request->timer, on_timer, RESPONSE_TIMEOUT_MS, 0);
 }
 
-/** Asks the program's home; false if there is none, or one of an earlier version. */
-static bool ask_home(quota_ask_t *ask) {
-    quota_client_t *client = ask->client;
-    const tenant_state_t *state = find_tenant(client, ask->tenant);
+/** Sends the request to the program's home; false if it has none, was tried or is legacy. */
+static bool request_from_home(quota_ask_t *request) {
+    quota_client_t *client = request->client;
+    const tenant_state_t *state = find_tenant(client, request->tenant);
     quota_member_t *members = list_members(client, state, NULL);
-    unsigned shares = quota_split_count(&client->bounds, &ask->limit, state->count);
+    unsigned shares = quota_split_count(&client->bounds, &request->limit, state->count);
     unsigned home =
-        program_home_choose(members, state->count, program_home_count(&ask->limit, shares),
-                            XXH64(ask->program, strlen(ask->program), 0));
+        program_home_choose(members, state->count, program_home_count(&request->limit, shares),
+                            XXH64(request->program, strlen(request->program), 0));
     g_free(members);
-    if (home >= state->count || ask->asked[home] || is_before(client, client->old, home))
+    if (home >= state->count || request->tried[home] ||
+        is_deadline_pending(client, client->legacy_until, home))
         return false;
     message_t message;
     message_init(&message, REQUEST_PROGRAM_ALLOWANCE);
-    message.charge.program = g_strdup(ask->program);
-    message.kind = ask->kind;
-    message.begun = ask->begun;
-    message.late = ask->late;
-    ask->member = home;
-    ask->at_home = true;
-    ask_member(ask, &message);
+    message.charge.program = g_strdup(request->program);
+    message.kind = request->kind;
+    message.begun = request->begun;
+    message.late = request->late;
+    request->member = home;
+    request->at_home = true;
+    send_to_member(request, &message);
     return true;
 }
 
-/** The call may ask any member from now on, and waits for so long. */
-static void leave_home(quota_ask_t *ask, bool admitted) {
-    g_clear_pointer(&ask->program, g_free);
-    ask->at_home = false;
-    if (!admitted && !ask->begun)
-        ask->patience_ms = PATIENCE_MS;
+/** Lets the request go to any member; a program not admitted and not started waits briefly. */
+static void end_home_stage(quota_ask_t *request, bool admitted) {
+    g_clear_pointer(&request->program, g_free);
+    request->at_home = false;
+    if (!admitted && !request->begun)
+        request->token_wait_ms = TOKEN_WAIT_MS;
 }
 
-/** Asks the next member, or tells what has come of it. */
-static quota_result_t step(quota_ask_t *ask) {
-    quota_client_t *client = ask->client;
-    if (ask->generation != store_client_generation(client->stores)) {
-        ask->generation = store_client_generation(client->stores);
-        g_free(ask->asked);
-        ask->asked = g_new0(bool, store_client_members(client->stores) + 1);
+/** Sends the request to the next member, or returns the final outcome. */
+static quota_result_t try_next_member(quota_ask_t *request) {
+    quota_client_t *client = request->client;
+    if (request->generation != store_client_generation(client->stores)) {
+        request->generation = store_client_generation(client->stores);
+        g_free(request->tried);
+        request->tried = g_new0(bool, store_client_members(client->stores) + 1);
     }
-    if (ask->program != NULL && ask_home(ask))
+    if (request->program != NULL && request_from_home(request))
         return (quota_result_t){.outcome = QUOTA_WAITING};
-    if (ask->program != NULL)
-        leave_home(ask, false);
-    quota_decision_t decision = decide(client, ask->tenant, &ask->limit, ask->asked);
+    if (request->program != NULL)
+        end_home_stage(request, false);
+    quota_decision_t decision = decide(client, request->tenant, &request->limit, request->tried);
     if (decision.step == QUOTA_UNREACHABLE)
         return (quota_result_t){.outcome = QUOTA_UNSURE};
-    bool patient =
-        decision.step == QUOTA_REFUSE && !ask->patient && decision.wait_ms <= ask->patience_ms;
-    if (decision.step == QUOTA_REFUSE && !patient)
-        return (quota_result_t){.outcome = QUOTA_OVER, .wait_ms = come_back_ms(decision.wait_ms)};
-    ask->patient = patient;
-    ask->member = decision.member;
+    bool wait_for_token = decision.step == QUOTA_REFUSE && !request->waiting_for_token &&
+                          decision.wait_ms <= request->token_wait_ms;
+    if (decision.step == QUOTA_REFUSE && !wait_for_token)
+        return (quota_result_t){.outcome = QUOTA_OVER, .wait_ms = retry_after_ms(decision.wait_ms)};
+    request->waiting_for_token = wait_for_token;
+    request->member = decision.member;
     message_t message;
     message_init(&message, REQUEST_ALLOWANCE);
-    message.wait_ms = patient ? ask->patience_ms : 0;
-    ask_member(ask, &message);
+    message.wait_ms = wait_for_token ? request->token_wait_ms : 0;
+    send_to_member(request, &message);
     return (quota_result_t){.outcome = QUOTA_WAITING};
 }
 
-static void free_ask(uv_handle_t *handle) {
-    quota_ask_t *ask = handle->data;
-    g_free(ask->tenant);
-    g_free(ask->program);
-    g_free(ask->asked);
-    g_free(ask);
+static void free_request(uv_handle_t *handle) {
+    quota_ask_t *request = handle->data;
+    g_free(request->tenant);
+    g_free(request->program);
+    g_free(request->tried);
+    g_free(request);
 }
 
-void quota_ask_cancel(quota_ask_t *ask) {
-    g_hash_table_remove(ask->client->asks, &ask->number);
-    uv_close((uv_handle_t *)&ask->timer, free_ask);
+void quota_ask_cancel(quota_ask_t *request) {
+    g_hash_table_remove(request->client->pending, &request->number);
+    uv_close((uv_handle_t *)&request->timer, free_request);
 }
 
-static void finish(quota_ask_t *ask, const quota_result_t *result) {
-    quota_done_t done = ask->done;
-    void *owner = ask->owner;
-    quota_ask_cancel(ask);
+static void finish(quota_ask_t *request, const quota_result_t *result) {
+    quota_done_t done = request->done;
+    void *owner = request->owner;
+    quota_ask_cancel(request);
     done(owner, result);
 }
 
-static void ask_next(quota_ask_t *ask) {
-    g_hash_table_remove(ask->client->asks, &ask->number);
-    quota_result_t result = step(ask);
+static void request_next(quota_ask_t *request) {
+    g_hash_table_remove(request->client->pending, &request->number);
+    quota_result_t result = try_next_member(request);
     if (result.outcome != QUOTA_WAITING)
-        finish(ask, &result);
+        finish(request, &result);
 }
 
-/** The member that was asked grants nothing. */
-static void go_on(quota_ask_t *ask) {
-    if (ask->generation == store_client_generation(ask->client->stores))
-        ask->asked[ask->member] = true;
-    ask_next(ask);
+static void on_not_granted(quota_ask_t *request) {
+    if (request->generation == store_client_generation(request->client->stores))
+        request->tried[request->member] = true;
+    request_next(request);
 }
 
 static void on_timer(uv_timer_t *timer) {
-    quota_ask_t *ask = timer->data;
-    if (ask->granted > 0) {
-        quota_result_t result = {.outcome = QUOTA_GRANTED, .until = ask->granted};
-        finish(ask, &result);
+    quota_ask_t *request = timer->data;
+    if (request->granted > 0) {
+        quota_result_t result = {.outcome = QUOTA_GRANTED, .until = request->granted};
+        finish(request, &result);
         return;
     }
-    if (ask->generation == store_client_generation(ask->client->stores))
-        note_unanswered(ask);
-    ask_next(ask);
+    if (request->generation == store_client_generation(request->client->stores))
+        record_no_response(request);
+    request_next(request);
 }
 
-static void take_call(quota_ask_t *ask, const quota_call_t *call) {
+static void set_call(quota_ask_t *request, const quota_call_t *call) {
     bool of_program = call->program != NULL;
-    uint32_t patience_ms = MIN(call->time_left_ms / PATIENCE_PART, BEGUN_PATIENCE_MS);
-    ask->patience_ms = of_program ? MAX(patience_ms, PATIENCE_MS) : PATIENCE_MS;
-    ask->begun = of_program && call->begun;
-    ask->late = call->late;
-    ask->program = g_strdup(call->program);
-    ask->kind = XXH64(call->route, strlen(call->route), 0);
+    uint32_t token_wait_ms = MIN(call->time_left_ms / TOKEN_WAIT_DIVISOR, STARTED_TOKEN_WAIT_MS);
+    request->token_wait_ms = of_program ? MAX(token_wait_ms, TOKEN_WAIT_MS) : TOKEN_WAIT_MS;
+    request->begun = of_program && call->begun;
+    request->late = call->late;
+    request->program = g_strdup(call->program);
+    request->kind = XXH64(call->route, strlen(call->route), 0);
 }
 
 quota_result_t quota_client_ask(quota_client_t *client, const tenant_t *tenant, uint64_t version,
                                 const quota_call_t *call, quota_done_t done, void *owner,
-                                quota_ask_t **ask) {
-    /* A new program would pass by its home. */
+                                quota_ask_t **request) {
+    /* An unused grant would let a new program bypass its home. */
     bool may_use = call->program == NULL || call->begun;
     uint64_t unused =
-        may_use ? take_unused(find_tenant(client, tenant->name), uv_now(client->loop)) : 0;
+        may_use ? take_unused_grant(find_tenant(client, tenant->name), uv_now(client->loop)) : 0;
     if (unused > 0)
         return (quota_result_t){.outcome = QUOTA_GRANTED, .until = unused};
     quota_ask_t *created = g_new0(quota_ask_t, 1);
@@ -345,14 +345,14 @@
     created->limit = (quota_limit_t){version, tenant->rate, tenant->burst};
     created->done = done;
     created->owner = owner;
-    take_call(created, call);
+    set_call(created, call);
     created->generation = store_client_generation(client->stores);
-    created->asked = g_new0(bool, store_client_members(client->stores) + 1);
+    created->tried = g_new0(bool, store_client_members(client->stores) + 1);
     uv_timer_init(client->loop, &created->timer);
     created->timer.data = created;
-    quota_result_t result = step(created);
+    quota_result_t result = try_next_member(created);
     if (result.outcome == QUOTA_WAITING)
-        *ask = created;
+        *request = created;
     else
         quota_ask_cancel(created);
     return result;
@@ -360,16 +360,16 @@
 
 void quota_client_give_back(quota_client_t *client, const tenant_t *tenant, uint64_t until) {
     tenant_state_t *state = find_tenant(client, tenant->name);
-    if (until >= uv_now(client->loop) && state->unused->len < GRANTS_KEPT_MOST)
+    if (until >= uv_now(client->loop) && state->unused->len < UNUSED_GRANTS_MAX)
         g_array_append_val(state->unused, until);
 }
 
 void quota_client_charge(quota_client_t *client, const tenant_t *tenant, uint64_t version) {
-    if (take_unused(find_tenant(client, tenant->name), uv_now(client->loop)) > 0)
+    if (take_unused_grant(find_tenant(client, tenant->name), uv_now(client->loop)) > 0)
         return;
     quota_limit_t limit = {version, tenant->rate, tenant->burst};
     quota_decision_t decision = decide(client, tenant->name, &limit, NULL);
-    /* Also where all are out of tokens: what was used must be paid for. */
+    /* Also if all are out of tokens, since the back end is used regardless. */
     if (decision.step == QUOTA_UNREACHABLE)
         return;
     message_t message;
@@ -377,45 +377,47 @@
     send_request(client, decision.member, &message, tenant->name, &limit);
 }
 
-/** An answer of the program's home; true if the call is refused by it. */
-static bool take_home_answer(quota_ask_t *ask, unsigned member, const message_t *message) {
-    quota_client_t *client = ask->client;
-    if (!ask->at_home || message->type != RESPONSE_ALLOWANCE)
+/** Handles a response of the program's home; true if the home refused the program. */
+static bool handle_home_response(quota_ask_t *request, unsigned member, const message_t *message) {
+    quota_client_t *client = request->client;
+    if (!request->at_home || message->type != RESPONSE_ALLOWANCE)
         return false;
-    g_hash_table_add(client->knowing, g_strdup(store_client_member_name(client->stores, member)));
-    leave_home(ask, true);
+    g_hash_table_add(client->program_aware,
+                     g_strdup(store_client_member_name(client->stores, member)));
+    end_home_stage(request, true);
     if (message->verdict != VERDICT_UNSURE)
         return false;
     quota_result_t result = {
-        .outcome = QUOTA_OVER, .wait_ms = come_back_ms(message->wait_ms), .not_begun = true};
-    finish(ask, &result);
+        .outcome = QUOTA_OVER, .wait_ms = retry_after_ms(message->wait_ms), .not_begun = true};
+    finish(request, &result);
     return true;
 }
 
 void quota_client_take_answer(quota_client_t *client, unsigned member, const message_t *message) {
-    quota_ask_t *ask = g_hash_table_lookup(client->asks, &message->number);
-    if (ask == NULL)
+    quota_ask_t *request = g_hash_table_lookup(client->pending, &message->number);
+    if (request == NULL)
         return;
     bool allowance = message->type == RESPONSE_ALLOWANCE;
-    bool current = ask->generation == store_client_generation(client->stores) &&
-                   message->generation == ask->generation;
-    if (take_home_answer(ask, member, message))
+    bool current = request->generation == store_client_generation(client->stores) &&
+                   message->generation == request->generation;
+    if (handle_home_response(request, member, message))
         return;
     if (allowance && message->verdict == VERDICT_YES) {
-        uint64_t until = ask->asked_at + message->wait_ms + quota_split_grant_ms(&client->bounds);
+        uint64_t until =
+            request->requested_at + message->wait_ms + quota_split_grant_ms(&client->bounds);
         if (message->wait_ms > 0) {
-            ask->granted = until;
-            uv_timer_start(&ask->timer, on_timer, message->wait_ms, 0);
+            request->granted = until;
+            uv_timer_start(&request->timer, on_timer, message->wait_ms, 0);
             return;
         }
         quota_result_t result = {.outcome = QUOTA_GRANTED, .until = until};
-        finish(ask, &result);
+        finish(request, &result);
         return;
     }
     if (allowance && current)
-        find_tenant(client, ask->tenant)->empty_until[member] =
+        find_tenant(client, request->tenant)->empty_until[member] =
             uv_now(client->loop) + message->wait_ms;
-    go_on(ask);
+    on_not_granted(request);
 }
 
 uint64_t quota_client_requests(const quota_client_t *client) {
@@ -429,10 +431,10 @@
     client->stores = stores;
     client->bounds = *bounds;
     client->tenants = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_tenant);
-    client->asks = g_hash_table_new(g_int64_hash, g_int64_equal);
-    client->silent = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    client->knowing = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    client->old_ms = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    client->old = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    client->pending = g_hash_table_new(g_int64_hash, g_int64_equal);
+    client->unresponsive_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    client->program_aware = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    client->legacy_backoff_ms = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    client->legacy_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return client;
 }
