--- a/src/gateway/quota_client.c
+++ b/src/gateway/quota_client.c
@@ -10,24 +10,28 @@
     RESPONSE_TIMEOUT_MS = 100,
     UNRESPONSIVE_SKIP_MS = 1000, /**< A member that timed out is skipped for this time. */
     TOKEN_WAIT_MS = 100,         /**< Longest wait of a call for a promised token. */
-    /** The same for a started program, whose work a refusal would waste; members promise tokens
-     * no further ahead than quota_split_promise_ms. */
+    /**
+     * Longest wait for a promised token if the program has started, since a refusal would waste its
+     * work. Members may promise less far ahead, see quota_split_promise_ms.
+     */
     STARTED_TOKEN_WAIT_MS = 1000,
-    TOKEN_WAIT_DIVISOR = 4, /**< Limits the wait to a fraction of the call's remaining time. */
-    /** Exponential backoff of program requests to a member that has never answered one: an earlier
-     * version drops them, but the response may also have been late. */
+    TOKEN_WAIT_DIVISOR = 4, /**< Of a program's call: longest wait is remaining time / this. */
+    /**
+     * Exponential backoff of program requests to a member that has never answered one: it may run
+     * an earlier version, which drops them, or its response may have been late.
+     */
     LEGACY_BACKOFF_MIN_MS = 1000,
     LEGACY_BACKOFF_MAX_MS = 60000,
     JITTER_MIN_MS = 100, /**< Bounds of the jitter of retry-after. */
     JITTER_MAX_MS = 1000,
-    TENANTS_MAX = 10000,    /**< All states are discarded beyond this. */
+    TENANTS_MAX = 10000,    /**< Beyond this, the states of all tenants are discarded. */
     UNUSED_GRANTS_MAX = 64, /**< Per tenant. */
 };
 
 typedef struct {
     uint64_t generation; /**< Of the group that the arrays describe. */
     unsigned count;
-    uint64_t *ranks;       /**< By member: its rank for the tenant. */
+    uint64_t *ranks;       /**< By member: rendezvous hash with the tenant; lowest first. */
     uint64_t *empty_until; /**< By member: out of tokens until then. */
     GArray *unused;        /**< Of uint64_t: expiry times of unused grants. */
 } tenant_state_t;
@@ -40,24 +44,24 @@
     GHashTable *pending;            /**< Number of the outstanding message to its quota_ask_t. */
     GHashTable *unresponsive_until; /**< Member name to the end of its skip time. */
     GHashTable *program_aware;      /**< Names of members that have answered a program request. */
-    GHashTable *legacy_until;       /**< Member name to the end of its backoff, */
-    GHashTable *legacy_backoff_ms;  /**< and to the backoff's length. */
+    GHashTable *legacy_until;       /**< Member name to the end of its backoff. */
+    GHashTable *legacy_backoff_ms;  /**< Member name to the length of its latest backoff. */
     uint64_t requests;
 };
 
 struct quota_ask {
     quota_client_t *client;
     uv_timer_t timer;
-    uint64_t number; /**< Of the outstanding message. */
+    uint64_t number; /**< Request number of the outstanding message. */
     uint64_t requested_at;
-    bool waiting_for_token; /**< A token promised for later was requested. */
-    uint64_t granted;       /**< Expiry of the promised token's grant; 0: none promised. */
+    bool waiting_for_token;  /**< The outstanding message asks for a promised token. */
+    uint64_t promised_until; /**< When the grant of a promised token expires; 0: no promise. */
     unsigned member;
     char *tenant;
     quota_limit_t limit;
     uint64_t generation;
-    bool *tried;   /**< By member: it granted nothing. */
-    char *program; /**< NULL: no program, or its home's stage is over. */
+    bool *tried;   /**< By member: refused or timed out, so not asked again. */
+    char *program; /**< NULL: no program, or its home need not be asked any more. */
     uint64_t kind;
     bool begun;
     bool late;
@@ -120,7 +124,7 @@
 
 /* Requests. */
 
-/** True if the member's time in @p times is in the future. */
+/** True if the member's entry in @p times is a time in the future. */
 static bool is_deadline_pending(const quota_client_t *client, GHashTable *times, unsigned member) {
     const char *name = store_client_member_name(client->stores, member);
     const uint64_t *until = g_hash_table_lookup(times, name);
@@ -214,7 +218,7 @@
     uv_timer_start(&request->timer, on_timer, RESPONSE_TIMEOUT_MS, 0);
 }
 
-/** Sends the request to the program's home; false if it has none, was tried or is legacy. */
+/** Sends the request to the program's home; false if there is none or it was tried or is legacy. */
 static bool request_from_home(quota_ask_t *request) {
     quota_client_t *client = request->client;
     const tenant_state_t *state = find_tenant(client, request->tenant);
@@ -239,7 +243,10 @@
     return true;
 }
 
-/** Lets the request go to any member; a program not admitted and not started waits briefly. */
+/**
+ * Ends the request to the program's home: any member may be asked next. A program that the home did
+ * not admit and that has not started gets the shorter token wait.
+ */
 static void end_home_stage(quota_ask_t *request, bool admitted) {
     g_clear_pointer(&request->program, g_free);
     request->at_home = false;
@@ -310,8 +317,8 @@
 
 static void on_timer(uv_timer_t *timer) {
     quota_ask_t *request = timer->data;
-    if (request->granted > 0) {
-        quota_result_t result = {.outcome = QUOTA_GRANTED, .until = request->granted};
+    if (request->promised_until > 0) {
+        quota_result_t result = {.outcome = QUOTA_GRANTED, .until = request->promised_until};
         finish(request, &result);
         return;
     }
@@ -369,7 +376,7 @@
         return;
     quota_limit_t limit = {version, tenant->rate, tenant->burst};
     quota_decision_t decision = decide(client, tenant->name, &limit, NULL);
-    /* Also if all are out of tokens, since the back end is used regardless. */
+    /* A member is charged even if all are out of tokens, since the back end is used regardless. */
     if (decision.step == QUOTA_UNREACHABLE)
         return;
     message_t message;
@@ -406,7 +413,7 @@
         uint64_t until =
             request->requested_at + message->wait_ms + quota_split_grant_ms(&client->bounds);
         if (message->wait_ms > 0) {
-            request->granted = until;
+            request->promised_until = until;
             uv_timer_start(&request->timer, on_timer, message->wait_ms, 0);
             return;
         }
--- a/src/gateway/quota_client.h
+++ b/src/gateway/quota_client.h
@@ -67,9 +67,9 @@
 void quota_ask_cancel(quota_ask_t *request);
 /** Returns an unused grant for another call of the tenant until it expires. */
 void quota_client_give_back(quota_client_t *client, const tenant_t *tenant, uint64_t until);
-/** Charges a member for a repeated run of the tenant's call, which needs no grant. */
+/** Charges a member one token for a rerun of the tenant's call, which needs no grant. */
 void quota_client_charge(quota_client_t *client, const tenant_t *tenant, uint64_t version);
-/** Processes a member's response, also one that reports a later generation. */
+/** Processes a member's response, including RESPONSE_OLD_GENERATION. */
 void quota_client_take_answer(quota_client_t *client, unsigned member, const message_t *message);
 /** Total number of requests sent to members. */
 uint64_t quota_client_requests(const quota_client_t *client);
--- a/src/gateway/store_client.c
+++ b/src/gateway/store_client.c
@@ -269,11 +269,11 @@
     message_clear(message);
 }
 
-void store_client_tell_place(store_client_t *client, const char *program, uint64_t place) {
+void store_client_tell_place(store_client_t *client, const char *program, uint64_t engine) {
     message_t message;
     message_init(&message, MESSAGE_PLACE);
     message.charge.program = g_strdup(program);
-    message.place = place;
+    message.place = engine;
     broadcast(client, &message);
 }
 
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -27,10 +27,16 @@
 /** Receives the results of an operation. */
 typedef struct {
     /**
-     * Result of a reserve (granted, refused, unsure) or of a chain (found, with its turns; not
-     * found; unsure). Ends the operation, except for a granted reserve. */
+     * Result of store_client_reserve (granted, refused or unsure) or of store_client_read_chain
+     * (found, with @p turns; not found; unsure). Unsure: no quorum decided in time, the zone became
+     * isolated or, for a reserve, too many members lack space. Ends the operation, except for a
+     * granted reserve.
+     */
     void (*on_verdict)(void *owner, verdict_t verdict, const GArray *turns);
-    /** A granted reserve or a turn became durable, or failed to in time. Ends the operation. */
+    /**
+     * Whether a granted reserve or a turn became durable; false on a timeout or if too many members
+     * refused the turn. Ends the operation.
+     */
     void (*on_durable)(void *owner, bool durable);
 } store_operation_handler_t;
 
@@ -39,7 +45,10 @@
     void (*on_gateways)(void *owner, const GPtrArray *addresses, const GPtrArray *sources);
     /** A member sent its directory snapshot; see store_client_ask_directory. */
     void (*on_directory)(void *owner, GBytes *snapshot);
-    /** Encodes the directory for a member; the caller unreferences it. NULL: none. */
+    /**
+     * Encodes the directory to be sent to a storage node and sets @p revision; the caller
+     * unreferences the result. NULL: no directory.
+     */
     GBytes *(*encode_directory)(void *owner, uint64_t *revision);
     /** Finds a gateway that may reach members that this one does not; false: none. May be NULL. */
     bool (*find_relay)(void *owner, struct sockaddr_in *address);
@@ -63,11 +72,11 @@
                           struct sockaddr_in *address);
 /** Applies a group if its generation is later than the current one. */
 void store_client_set_group(store_client_t *client, const store_group_t *group);
-/** The same, from a MESSAGE_GROUP. */
+/** Applies the group in a MESSAGE_GROUP as store_client_set_group does; ignores an invalid one. */
 void store_client_take_group(store_client_t *client, const message_t *message);
 /** True if a write quorum of members is connected and responsive, and the zone not isolated. */
 bool store_client_connected(const store_client_t *client);
-/** The same, counting direct connections only. */
+/** Like store_client_connected, but counts direct connections only. */
 bool store_client_connected_directly(const store_client_t *client);
 
 /**
@@ -84,13 +93,14 @@
 
 /** The group's generation, within which the members' indexes do not change. */
 uint64_t store_client_generation(const store_client_t *client);
+/** Number of members in the group. */
 unsigned store_client_members(const store_client_t *client);
 const char *store_client_member_name(const store_client_t *client, unsigned member);
 /** True if @p member is connected, directly or through a relay. */
 bool store_client_member_open(const store_client_t *client, unsigned member);
-/** A number for a request whose response goes to on_answer. */
+/** Returns an unused number for a request whose response goes to on_answer. */
 uint64_t store_client_next_number(store_client_t *client);
-/** Sends a request in the current generation to one member, if connected; clears it. */
+/** Sends @p request in the current generation to one member, if connected; clears @p request. */
 void store_client_send_member(const store_client_t *client, unsigned member, message_t *request);
 
 /**
@@ -106,19 +116,23 @@
 /** Of a granted reserve: other calls of the program have spent or reserved tokens. */
 bool store_operation_begun(const store_operation_t *operation);
 /**
- * Of a reserve: false if so many members lack the space for it, or for the turn to be stored, that
- * it cannot be granted.
+ * Of a reserve: false if so many members lack space for it, or for the turn if that will be stored,
+ * that a write quorum with space is impossible.
  */
 bool store_operation_has_room(const store_operation_t *operation);
-/** Reports to the members at which back end the program now runs; best effort. */
-void store_client_tell_place(store_client_t *client, const char *program, uint64_t place);
+/** Reports to the members the hash of the back end at which the program now runs; best effort. */
+void store_client_tell_place(store_client_t *client, const char *program, uint64_t engine);
 store_operation_t *store_client_put_turn(store_client_t *client, const turn_t *turn,
                                          const store_operation_handler_t *handler, void *owner);
+/** Reads a turn and its ancestors. */
 store_operation_t *store_client_read_chain(store_client_t *client, const char *turn_id,
                                            const store_operation_handler_t *handler, void *owner);
 /** Ends an operation without a callback. */
 void store_operation_cancel(store_operation_t *operation);
-/** Settles a reserve; queued for disconnected members, up to a limit. */
+/**
+ * Settles a reserve: reports the tokens that the call spent. Queued for disconnected members, up to
+ * a limit.
+ */
 void store_client_settle(store_client_t *client, const char *program, const char *call,
                          uint64_t max_tokens, uint64_t spent);
 
--- a/src/gateway/store_client_state.h
+++ b/src/gateway/store_client_state.h
@@ -42,7 +42,10 @@
     bool check_scheduled; /**< check_timer is active. */
 };
 
-/** One member's reply to an operation. */
+/**
+ * One member's reply to an operation. UNSURE: the member is not complete in the operation's
+ * generation, or acts in another one; in durable_replies, it stored the record but is not complete.
+ */
 typedef enum { REPLY_NONE, REPLY_YES, REPLY_NO, REPLY_UNSURE } reply_t;
 
 struct store_operation {
@@ -63,7 +66,7 @@
     reply_t *space_replies;        /**< By member: whether it has free space. */
     uint64_t last_engine;          /**< Hash of the back end last used; 0: unknown. */
     bool granted;
-    bool fanned_out; /**< Of a chain: all members are asked, not only the first. */
+    bool fanned_out; /**< Of a chain: sent to all members, not only the first. */
     const store_operation_handler_t *handler;
     void *owner;
 };
@@ -82,9 +85,9 @@
 void store_health_on_link_open(const store_client_t *client, const member_t *member);
 /** Records that a message of @p type arrived; only responses count. */
 void store_health_record_response(member_t *member, message_type_t type);
-/** Schedules an isolation check for a new operation. */
+/** Schedules an isolation check for a new operation, if isolation is checked. */
 void store_health_on_operation_start(store_client_t *client);
-/** True if @p member is connected and, if isolation is checked, has sent a message since. */
+/** True if @p member is connected and, if isolation is checked, has sent a message on its link. */
 bool store_health_is_connected(const store_client_t *client, const member_t *member);
 
 /* store_operation.c */
@@ -94,7 +97,7 @@
 
 /** True if the operation still needs a reply of the member at @p index. */
 bool store_operation_awaits(const store_operation_t *operation, unsigned index);
-/** Sends the request to @p member if it is connected. */
+/** Sends the operation's request to @p member if it is connected. */
 void store_operation_send(store_operation_t *operation, const member_t *member);
 /** Discards all replies and sends the request again in the group's current generation. */
 void store_operation_restart(store_operation_t *operation);
--- a/src/gateway/store_link.h
+++ b/src/gateway/store_link.h
@@ -21,7 +21,7 @@
     /** The link was established, for the first time or again. */
     void (*on_open)(void *owner, store_link_t *link);
     void (*on_frame)(void *owner, store_link_t *link, const uint8_t *data, size_t length);
-    /** Finds a gateway that may reach what this one does not; false: none. */
+    /** Finds a gateway that may reach the storage node; false: none. */
     bool (*find_relay)(void *owner, struct sockaddr_in *address);
 } store_link_handler_t;
 
--- a/src/gateway/store_operation.c
+++ b/src/gateway/store_operation.c
@@ -12,7 +12,7 @@
 enum {
     UNSURE_RETRY_INTERVAL_MS = 150,
     CHAIN_FANOUT_DELAY_MS = 120, /**< Wait for the first member before all are asked. */
-    BACKLOG_MAX = 2000,
+    BACKLOG_MAX = 2000,          /**< Settlements queued per disconnected member. */
 };
 
 static void end_operation(store_operation_t *operation);
@@ -112,8 +112,8 @@
 }
 
 /**
- * True once a write quorum has confirmed free space. A missing reply is not taken for free space,
- * so that a granted turn does not run and then fail to be stored.
+ * True once a write quorum has confirmed free space. A missing reply does not count, so that a
+ * granted turn does not run and then fail to be stored.
  */
 static bool space_is_confirmed(const store_operation_t *operation) {
     unsigned quorum = store_write_quorum(operation->client->members->len);
@@ -141,7 +141,7 @@
     return decision;
 }
 
-/** Unsure until both the budget is decided and the free space is confirmed. */
+/** Refused if the budget refuses; granted once it grants and free space is confirmed. */
 static verdict_t reserve_verdict(store_operation_t *operation) {
     budget_decision_t decision = decide_reserve(operation);
     if (decision == BUDGET_REFUSED)
@@ -228,9 +228,10 @@
 }
 
 /**
- * Records whether a member has space for the reserve and, if requested, for the turn. A refusal
- * means no space. A member that is still catching up is unsure of the reserve but stores turns, so
- * its free space counts.
+ * Records whether a member has space for the reserve and, if the turn will be stored, for the turn.
+ * VERDICT_NO means no space for the reserve. A member that is not complete in the current
+ * generation accepts no reserve (VERDICT_UNSURE) but stores turns: it counts if it has space for
+ * one; if not, nothing is recorded.
  */
 static void record_space(store_operation_t *operation, unsigned index, const message_t *message) {
     if (message->verdict == VERDICT_UNSURE && !message->room)
--- a/src/gateway/store_relay.h
+++ b/src/gateway/store_relay.h
@@ -5,8 +5,8 @@
  * the storage node in its first frame; all later frames are forwarded unchanged.
  *
  * The peer address also accepts gateways that follow this one's view of the key-value service (see
- * directory_feed.h), and storage nodes that send their group, for a gateway that started while the
- * key-value service was unavailable.
+ * directory_feed.h), and storage nodes that send their group, which this gateway lacks if it
+ * started while the key-value service was unavailable.
  *
  * Failures: if this gateway is not directly connected to the storage node, or if either side closes
  * or stops reading, both connections are closed and the other gateway takes another path. Frames
@@ -23,12 +23,12 @@
 typedef struct store_relay store_relay_t;
 
 /**
- * Listens at @p address; gateways that follow are added to @p feed (NULL: refused). Returns NULL if
- * listening fails.
+ * Listens at @p address. Gateways that follow the directory are added to @p feed; if it is NULL,
+ * they are refused. Returns NULL if listening fails.
  */
 store_relay_t *store_relay_open(uv_loop_t *loop, const struct sockaddr_in *address,
                                 store_client_t *stores, directory_feed_t *feed);
-/** Number of connections now relayed, those not yet assigned to a storage node included. */
+/** Number of relay sessions, including those that have not named their storage node yet. */
 unsigned store_relay_count(const store_relay_t *relay);
 
 #endif
--- a/src/gateway/store_silence.c
+++ b/src/gateway/store_silence.c
@@ -14,7 +14,7 @@
 
 enum {
     RESPONSE_TIMEOUT_MS = 400,
-    UNRESPONSIVE_CHECKS_MIN = 2, /**< In a row; after a pause of this process all seem late. */
+    UNRESPONSIVE_CHECKS_MIN = 2, /**< In a row; one may fail because this process was paused. */
     SUSPICION_TIMEOUT_MS = 1000, /**< A suspicion reported by another gateway expires after this. */
 };
 
@@ -46,7 +46,7 @@
     return false;
 }
 
-/** Reconnects links without a message since @p since; other gateways may reach those members. */
+/** Reconnects links without a message since @p since, perhaps through another gateway. */
 static void reconnect_unresponsive_links(const store_client_t *client, uint64_t since) {
     for (guint i = 0; i < client->members->len; i++) {
         const member_t *member = member_at(client, i);
@@ -80,7 +80,11 @@
     g_bytes_unref(bytes);
 }
 
-/** While an operation waits, requires recent messages from a quorum; probes members otherwise. */
+/**
+ * Probes the members while an operation waits and no quorum has sent a message recently. After
+ * UNRESPONSIVE_CHECKS_MIN such checks in a row, also marks the members as unresponsive and
+ * reconnects links without a recent message, until a quorum responds.
+ */
 static void check_responsiveness(store_client_t *client) {
     uint64_t now = uv_now(client->loop);
     uint64_t since = now > RESPONSE_TIMEOUT_MS ? now - RESPONSE_TIMEOUT_MS : 0;
@@ -108,7 +112,7 @@
     return counted >= store_write_quorum(client->members->len);
 }
 
-/** True until a quorum has responded after the reported suspicion, or it has expired. */
+/** True while a reported suspicion has neither expired nor been refuted by a quorum. */
 static bool isolation_suspected(store_client_t *client, uint64_t now) {
     if (client->suspected_at == 0)
         return false;
