--- a/src/store/main.c
+++ b/src/store/main.c
@@ -1,11 +1,11 @@
-/** The storage node's program: settings, loop, signals. */
+/** Entry point of the storage node: settings, loop, signals. */
 #include "cluster/program.h"
 #include "common/event.h"
 #include "store/store.h"
 
 #include <stdlib.h>
 
-enum { STOP_MS = 1000 };
+enum { STOP_TIMEOUT_MS = 1000 };
 
 static void on_stop_timer(uv_timer_t *timer) {
     uv_stop(timer->loop);
@@ -18,11 +18,12 @@
     store->stopping = true;
     event_log(STORE_STOPPING, number);
     uv_timer_stop(&store->upkeep);
-    uv_timer_start(&store->upkeep, on_stop_timer, record_log_idle(store->log) ? 0 : STOP_MS, 0);
+    uv_timer_start(&store->upkeep, on_stop_timer, record_log_idle(store->log) ? 0 : STOP_TIMEOUT_MS,
+                   0);
 }
 
 static int run(const process_settings_t *settings) {
-    /* The disk's thread may still be in a write when the process ends, and uses the loop then. */
+    /* Static: the disk thread may still use the loop for a write while the process exits. */
     static uv_loop_t loop;
     store_t store = {.loop = &loop, .settings = settings};
     GError *error = NULL;
@@ -34,7 +35,10 @@
     }
     metrics_page_t metrics;
     if (!store_open_metrics(&store, &metrics)) {
-        event_log(NODE_FAILED, error_name(RUDDERWAY_ERROR_SYSTEM), "cannot listen for metrics");
+        char *text = g_strdup_printf("cannot listen for metrics on port %u",
+                                     ntohs(settings->metrics.sin_port));
+        event_log(NODE_FAILED, error_name(RUDDERWAY_ERROR_SYSTEM), text);
+        g_free(text);
         return EXIT_FAILURE;
     }
     program_signals_t signals;
@@ -52,7 +56,7 @@
         .kind = PROCESS_STORE,
         .run = run,
     };
-    /* One thread waits for the disk. */
+    /* Only record_log.c uses the thread pool, with one batch at a time. */
     setenv("UV_THREADPOOL_SIZE", "1", 1);
     return program_main(&program, argc, argv);
 }
--- a/src/store/program_places.h
+++ b/src/store/program_places.h
@@ -1,7 +1,7 @@
 /**
  * @file program_places.h
- * The back end at which each program last ran, as gateways told it: there its prompt is cached. A
- * hint, in memory only: a program whose place is forgotten costs one reading of its prompt.
+ * Cache affinity of programs: the back end at which each program last ran, as reported by gateways.
+ * Its prompt is cached there. A hint kept in memory only: losing an entry costs one prompt prefill.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -12,17 +12,17 @@
 #include <stdint.h>
 
 typedef struct {
-    GHashTable *places; /**< Program id to its place. */
+    GHashTable *entries; /**< By program id. */
 } program_places_t;
 
-void program_places_init(program_places_t *places);
-void program_places_clear(program_places_t *places);
-/** Notes that @p program runs at back end @p backend (hash of its instance); times are ms. */
-void program_places_note(program_places_t *places, const char *program, uint64_t backend,
+void program_places_init(program_places_t *affinity);
+void program_places_clear(program_places_t *affinity);
+/** Records that @p program runs at back end @p backend (hash of its instance); times in ms. */
+void program_places_note(program_places_t *affinity, const char *program, uint64_t backend,
                          uint64_t now);
-/** 0 if none is known. */
-uint64_t program_places_find(const program_places_t *places, const char *program);
-/** Forgets programs of which nothing was told since @p before. */
-void program_places_expire(program_places_t *places, uint64_t before);
+/** The program's last back end; 0 if none is recorded. */
+uint64_t program_places_find(const program_places_t *affinity, const char *program);
+/** Removes entries that were last updated before @p before. */
+void program_places_expire(program_places_t *affinity, uint64_t before);
 
 #endif
--- a/src/store/record_log.c
+++ b/src/store/record_log.c
@@ -1,12 +1,12 @@
 /*
- * Design. A record is its length, a checksum of its bytes, and its bytes. Each start of the
- * process begins a new segment, so that nothing is ever written behind a torn tail. A batch is
- * written at a known offset and synced before any of its records counts; if that fails, the file
- * is cut back to the offset, and the batch's records are reported as not durable.
+ * A record is its length, a checksum of its bytes, and its bytes. Each start of the process opens a
+ * new segment, so that nothing is ever written after a torn tail. A batch is written at a known
+ * offset and synced before any of its records counts as durable; if that fails, the file is
+ * truncated to the offset and the batch's records are reported as not durable.
  *
- * Failures. After a loss of power a segment may end in records that are torn or missing; none of
- * them was acknowledged. A new file's name is made durable by a sync of the folder. A removed
- * segment may come back: its records are then merely older than needed.
+ * Failures: after a power loss a segment may end in torn or missing records, none of which was
+ * acknowledged. The folder is synced to make the name of a new file durable. A removed segment may
+ * reappear; replaying it only restores records that are no longer used.
  */
 #include "store/record_log.h"
 
@@ -21,10 +21,10 @@
 
 enum {
     SEGMENT_BYTES = 4 * 1024 * 1024,
-    RECORD_HEAD_BYTES = 8,
+    RECORD_HEADER_BYTES = 8,
     FILE_MODE = 0600,
-    NANOSECONDS_A_MS = 1000000,
-    /** A third of what gateways wait for a write (gateway/store_client.h). */
+    NS_PER_MS = 1000000,
+    /** Writes slower than this are logged; a third of the gateways' GATEWAY_WRITE_MS. */
     SLOW_WRITE_MS = 500,
 };
 
@@ -32,8 +32,8 @@
     GBytes *bytes;
     record_log_done_t done;
     void *owner;
-    uint64_t given_at; /**< ns, as are all times here. */
-    bool state;        /**< Replaces the state file instead of being appended. */
+    uint64_t enqueued_at; /**< ns, as all times here. */
+    bool state;           /**< Replaces the state file instead of being appended. */
 } pending_t;
 
 typedef struct {
@@ -41,28 +41,28 @@
     uint64_t bytes;
 } segment_t;
 
-/** One visit to the disk. */
+/** Entries that are written with one sync. */
 typedef struct {
     uv_work_t work;
     record_log_t *log;
     GArray *entries;   /**< Of pending_t. */
-    GByteArray *bytes; /**< Records to append, with their heads. */
-    GBytes *state;     /**< The last state among the entries; NULL if none. */
+    GByteArray *bytes; /**< Records to append, with their headers. */
+    GBytes *state;     /**< The latest state among the entries; NULL if none. */
     int file;
     uint32_t segment;
     uint64_t offset;
     bool new_segment;
     bool appended;
     bool state_written;
-    uint64_t queued_at;  /**< By the loop, */
-    uint64_t taken_at;   /**< by the thread, */
-    uint64_t written_at; /**< and when the disk had all of it. */
+    uint64_t submitted_at; /**< When the loop handed it to the thread pool. */
+    uint64_t started_at;   /**< When the thread began with it. */
+    uint64_t finished_at;  /**< When the disk had synced all of it. */
 } batch_t;
 
 struct record_log {
     uv_loop_t *loop;
     char *folder;
-    GArray *segments; /**< Of segment_t, oldest first; the last is being written. */
+    GArray *segments; /**< Of segment_t, oldest first; the last one is open for writing. */
     int file;         /**< Of the last segment; -1 until its first write. */
     GArray *pending;
     bool busy;
@@ -79,28 +79,28 @@
 static void append_record(GByteArray *bytes, GBytes *record) {
     gsize length;
     const guint8 *data = g_bytes_get_data(record, &length);
-    guint32 head[2] = {GUINT32_TO_LE((guint32)length), GUINT32_TO_LE(XXH32(data, length, 0))};
-    g_byte_array_append(bytes, (const guint8 *)head, RECORD_HEAD_BYTES);
+    guint32 header[2] = {GUINT32_TO_LE((guint32)length), GUINT32_TO_LE(XXH32(data, length, 0))};
+    g_byte_array_append(bytes, (const guint8 *)header, RECORD_HEADER_BYTES);
     g_byte_array_append(bytes, data, (guint)length);
 }
 
-/** Length of the sound record at @p data; -1 if there is none. */
-static gssize sound_record(const guint8 *data, size_t left) {
-    guint32 head[2];
-    if (left < RECORD_HEAD_BYTES)
+/** Length of the record at @p data; -1 if it is not valid. */
+static gssize valid_record_length(const guint8 *data, size_t left) {
+    guint32 header[2];
+    if (left < RECORD_HEADER_BYTES)
         return -1;
-    memcpy(head, data, RECORD_HEAD_BYTES);
-    size_t length = GUINT32_FROM_LE(head[0]);
-    if (length == 0 || length > left - RECORD_HEAD_BYTES)
+    memcpy(header, data, RECORD_HEADER_BYTES);
+    size_t length = GUINT32_FROM_LE(header[0]);
+    if (length == 0 || length > left - RECORD_HEADER_BYTES)
         return -1;
-    if (XXH32(data + RECORD_HEAD_BYTES, length, 0) != GUINT32_FROM_LE(head[1]))
+    if (XXH32(data + RECORD_HEADER_BYTES, length, 0) != GUINT32_FROM_LE(header[1]))
         return -1;
     return (gssize)length;
 }
 
 /* Disk thread. */
 
-static bool write_whole(int file, const guint8 *data, size_t length, uint64_t offset) {
+static bool write_all(int file, const guint8 *data, size_t length, uint64_t offset) {
     while (length > 0) {
         ssize_t written = pwrite(file, data, length, (off_t)offset);
         if (written < 0 && errno == EINTR)
@@ -133,7 +133,7 @@
         if (batch->file < 0)
             return false;
     }
-    bool written = write_whole(batch->file, batch->bytes->data, batch->bytes->len, batch->offset) &&
+    bool written = write_all(batch->file, batch->bytes->data, batch->bytes->len, batch->offset) &&
                    fdatasync(batch->file) == 0;
     if (written && batch->new_segment)
         written = sync_folder(log->folder);
@@ -148,7 +148,7 @@
     GByteArray *bytes = g_byte_array_new();
     append_record(bytes, batch->state);
     int file = open(temporary, O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, FILE_MODE);
-    bool written = file >= 0 && write_whole(file, bytes->data, bytes->len, 0) && fsync(file) == 0;
+    bool written = file >= 0 && write_all(file, bytes->data, bytes->len, 0) && fsync(file) == 0;
     if (file >= 0)
         close(file);
     written = written && rename(temporary, path) == 0 && sync_folder(batch->log->folder);
@@ -160,10 +160,10 @@
 
 static void run_batch(uv_work_t *work) {
     batch_t *batch = work->data;
-    batch->taken_at = uv_hrtime();
+    batch->started_at = uv_hrtime();
     batch->appended = batch->bytes->len == 0 || append_batch(batch);
     batch->state_written = batch->state == NULL || replace_state(batch);
-    batch->written_at = uv_hrtime();
+    batch->finished_at = uv_hrtime();
 }
 
 /* Loop thread. */
@@ -179,7 +179,7 @@
 
 static void start_batch(record_log_t *log);
 
-static void note_written(record_log_t *log, const batch_t *batch) {
+static void record_batch_result(record_log_t *log, const batch_t *batch) {
     log->file = batch->file;
     if (!batch->appended)
         return;
@@ -192,20 +192,21 @@
     add_segment(log, segment->number + 1, 0);
 }
 
-static uint64_t ms_between(uint64_t begun_at, uint64_t ended_at) {
-    return (ended_at - begun_at) / NANOSECONDS_A_MS;
+static uint64_t ms_between(uint64_t start_ns, uint64_t end_ns) {
+    return (end_ns - start_ns) / NS_PER_MS;
 }
 
-/** At most four lines a second: records wait for the batch before theirs and for their own. */
-static void log_if_slow(const batch_t *batch) {
-    uint64_t given_at = g_array_index(batch->entries, pending_t, 0).given_at;
+/** Logs at most four lines a second: a record waits for the previous batch and its own. */
+static void log_slow_batch(const batch_t *batch) {
+    uint64_t enqueued_at = g_array_index(batch->entries, pending_t, 0).enqueued_at;
     uint64_t done_at = uv_hrtime();
-    if (ms_between(given_at, done_at) < SLOW_WRITE_MS)
+    if (ms_between(enqueued_at, done_at) < SLOW_WRITE_MS)
         return;
-    event_log(STORE_WRITE_SLOW, ms_between(given_at, done_at),
-              ms_between(given_at, batch->queued_at), ms_between(batch->queued_at, batch->taken_at),
-              ms_between(batch->taken_at, batch->written_at),
-              ms_between(batch->written_at, done_at), batch->entries->len, batch->bytes->len);
+    event_log(STORE_WRITE_SLOW, ms_between(enqueued_at, done_at),
+              ms_between(enqueued_at, batch->submitted_at),
+              ms_between(batch->submitted_at, batch->started_at),
+              ms_between(batch->started_at, batch->finished_at),
+              ms_between(batch->finished_at, done_at), batch->entries->len, batch->bytes->len);
 }
 
 static void on_batch_done(uv_work_t *work, int status) {
@@ -213,8 +214,8 @@
     record_log_t *log = batch->log;
     (void)status;
     log->busy = false;
-    log_if_slow(batch);
-    note_written(log, batch);
+    log_slow_batch(batch);
+    record_batch_result(log, batch);
     for (guint i = 0; i < batch->entries->len; i++) {
         pending_t *entry = &g_array_index(batch->entries, pending_t, i);
         bool durable = entry->state ? batch->state_written : batch->appended;
@@ -248,7 +249,7 @@
             append_record(batch->bytes, entry->bytes);
     }
     log->busy = true;
-    batch->queued_at = uv_hrtime();
+    batch->submitted_at = uv_hrtime();
     uv_queue_work(log->loop, &batch->work, run_batch, on_batch_done);
 }
 
@@ -278,11 +279,11 @@
     return bytes;
 }
 
-void record_log_trim(record_log_t *log, bool (*unneeded)(void *owner, uint32_t segment),
+void record_log_trim(record_log_t *log, bool (*is_unused)(void *owner, uint32_t segment),
                      void *owner) {
     while (log->segments->len > 1) {
         uint32_t number = g_array_index(log->segments, segment_t, 0).number;
-        if (!unneeded(owner, number))
+        if (!is_unused(owner, number))
             return;
         char *path = segment_path(log, number);
         unlink(path);
@@ -297,9 +298,9 @@
     gsize length = 0;
     GBytes *state = NULL;
     if (g_file_get_contents(path, &data, &length, NULL)) {
-        gssize sound = sound_record((const guint8 *)data, length);
-        if (sound > 0)
-            state = g_bytes_new(data + RECORD_HEAD_BYTES, (gsize)sound);
+        gssize valid = valid_record_length((const guint8 *)data, length);
+        if (valid > 0)
+            state = g_bytes_new(data + RECORD_HEADER_BYTES, (gsize)valid);
     }
     g_free(data);
     g_free(path);
@@ -341,10 +342,10 @@
     const guint8 *bytes = (const guint8 *)data;
     size_t position = 0;
     for (;;) {
-        gssize record = sound_record(bytes + position, length - position);
+        gssize record = valid_record_length(bytes + position, length - position);
         if (record < 0)
             break;
-        position += RECORD_HEAD_BYTES;
+        position += RECORD_HEADER_BYTES;
         replay(owner, number, bytes + position, (size_t)record);
         position += (size_t)record;
     }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -4,29 +4,29 @@
 #include "store/store_directory.h"
 
 enum {
-    QUOTA_RETENTION_MS = 120000, /**< A tenant is forgotten that has been silent for so long. */
-    PLACE_RETENTION_MS = 60000,  /**< An engine has read over a prompt unused for so long. */
+    QUOTA_RETENTION_MS = 120000,   /**< Tenants idle for longer are removed. */
+    AFFINITY_RETENTION_MS = 60000, /**< After this an engine has evicted an unused prompt. */
 };
 
-static bool segment_unneeded(void *owner, uint32_t segment) {
+static bool segment_is_unused(void *owner, uint32_t segment) {
     const store_t *store = owner;
-    return turn_table_segment_unneeded(&store->turns, segment, store_time(store));
+    return turn_table_segment_unneeded(&store->turns, segment, store_record_time(store));
 }
 
-uint64_t store_time(const store_t *store) {
+uint64_t store_record_time(const store_t *store) {
     return record_clock_time(&store->clock, uv_now(store->loop));
 }
 
 void store_forget_expired(store_t *store) {
-    uint64_t time = store_time(store);
-    store->expired_at = time;
+    uint64_t time = store_record_time(store);
+    store->last_expiry_at = time;
     turn_table_expire(&store->turns, time);
     if (time > BUDGET_RETENTION_MS)
         budget_table_expire(&store->budgets, time - BUDGET_RETENTION_MS);
 }
 
-/** True if the log holds anything whose age counts. */
-static bool holds_records(const store_t *store) {
+/** True if the log has records that expire. */
+static bool has_records(const store_t *store) {
     return g_hash_table_size(store->turns.entries) + g_hash_table_size(store->budgets.programs) > 0;
 }
 
@@ -34,26 +34,26 @@
     store_t *store = timer->data;
     uint64_t now = uv_now(store->loop);
     store_forget_expired(store);
-    room_holds_expire(&store->holds, now);
-    if (holds_records(store))
-        store_mark_time(store);
-    if (now > PLACE_RETENTION_MS)
-        program_places_expire(&store->places, now - PLACE_RETENTION_MS);
+    room_holds_expire(&store->reservations, now);
+    if (has_records(store))
+        store_append_time_mark(store);
+    if (now > AFFINITY_RETENTION_MS)
+        program_places_expire(&store->affinity, now - AFFINITY_RETENTION_MS);
     if (now > QUOTA_RETENTION_MS) {
         quota_table_expire(&store->quotas, now - QUOTA_RETENTION_MS);
         admission_table_expire(&store->admissions, now - QUOTA_RETENTION_MS);
     }
-    record_log_trim(store->log, segment_unneeded, store);
+    record_log_trim(store->log, segment_is_unused, store);
 }
 
-/** Reads the log and the state file; what has neither is new, or has lost its disk. */
+/** Reads the log and the state file; without a state file the node is new or lost its disk. */
 static bool open_log(store_t *store, GError **error) {
     store->log = record_log_open(store->loop, store->settings->folder, store_replay, store, error);
     if (store->log == NULL)
         return false;
     record_clock_run(&store->clock, uv_now(store->loop));
     store_forget_expired(store);
-    event_log(STORE_LOG_READ, store->records_read, g_hash_table_size(store->turns.entries),
+    event_log(STORE_LOG_READ, store->records_replayed, g_hash_table_size(store->turns.entries),
               store->turns.bytes, record_log_bytes(store->log));
     bool restored = store_restore_state(store);
     if (!restored) {
@@ -72,11 +72,11 @@
     store->connections = g_hash_table_new(g_int64_hash, g_int64_equal);
     turn_table_init(&store->turns);
     budget_table_init_replica(&store->budgets);
-    program_places_init(&store->places);
-    room_holds_init(&store->holds);
+    program_places_init(&store->affinity);
+    room_holds_init(&store->reservations);
     quota_table_init(&store->quotas, &store->settings->quota);
     admission_table_init(&store->admissions);
-    store_requests_start(store);
+    store_requests_init(store);
     store->directory = store_directory_new(store);
     if (!open_log(store, error))
         return false;
@@ -88,7 +88,7 @@
     }
     uv_timer_init(store->loop, &store->upkeep);
     store->upkeep.data = store;
-    uv_timer_start(&store->upkeep, on_upkeep, STORE_UPKEEP_MS, STORE_UPKEEP_MS);
+    uv_timer_start(&store->upkeep, on_upkeep, STORE_UPKEEP_INTERVAL_MS, STORE_UPKEEP_INTERVAL_MS);
     store->catch_up = store_catch_up_new(store);
     store->membership = store_membership_new(store);
     store_directory_start(store->directory);
--- a/src/store/store_metrics.c
+++ b/src/store/store_metrics.c
@@ -1,10 +1,10 @@
-/* A storage node's figures for operators. */
+/* Metrics of a storage node. */
 #include "store/store.h"
 
 #include "cluster/metrics_page.h"
 #include "common/event.h"
 
-static void append_figures(void *owner, GString *text) {
+static void append_metrics(void *owner, GString *text) {
     const store_t *store = owner;
     metrics_append(text, "store_generation", store->group->generation);
     metrics_append(text, "store_members", store->group->members->len);
@@ -12,7 +12,7 @@
     metrics_append(text, "store_complete", store_complete(store));
     metrics_append(text, "store_turns", g_hash_table_size(store->turns.entries));
     metrics_append(text, "store_turn_bytes", store->turns.bytes);
-    metrics_append(text, "store_held_turn_bytes", store_held_turn_bytes(store));
+    metrics_append(text, "store_held_turn_bytes", store_reserved_turn_bytes(store));
     metrics_append(text, "store_charge_bytes", budget_table_bytes(&store->budgets));
     metrics_append(text, "store_log_bytes", record_log_bytes(store->log));
     metrics_append(text, "store_connections", g_hash_table_size(store->connections));
@@ -37,5 +37,5 @@
 }
 
 bool store_open_metrics(store_t *store, metrics_page_t *page) {
-    return metrics_page_open(page, store->loop, store->settings, append_figures, store);
+    return metrics_page_open(page, store->loop, store->settings, append_metrics, store);
 }
--- a/src/store/store_replay.c
+++ b/src/store/store_replay.c
@@ -1,19 +1,18 @@
 /*
- * Design. The log is read once, at the start, record by record and oldest first, into the tables
- * that requests are answered from. Time goes by as it did while it was written, by the log's own
- * marks: what had expired then takes no room now.
+ * Rebuilds the in-memory tables from the log at startup, record by record, oldest first. The time
+ * marks in the log drive expiry during the replay, so that expired records do not use memory.
  */
 #include "store/store.h"
 
-/** Time goes by as it did while the log was written, so that no more is held than was then. */
+/** Expires records at the log's own times, so that replay never holds more than the node did. */
 static void replay_time(store_t *store, uint64_t mark) {
     record_clock_read(&store->clock, mark);
-    if (store_time(store) >= store->expired_at + STORE_UPKEEP_MS)
+    if (store_record_time(store) >= store->last_expiry_at + STORE_UPKEEP_INTERVAL_MS)
         store_forget_expired(store);
 }
 
 static void replay_charge(store_t *store, uint32_t segment, const budget_charge_t *charge) {
-    uint64_t time = store_time(store);
+    uint64_t time = store_record_time(store);
     budget_table_merge(&store->budgets, charge, time);
     budget_table_note_kept(&store->budgets, charge);
     turn_table_need_segment(&store->turns, segment, time + BUDGET_RETENTION_MS);
@@ -32,7 +31,7 @@
     case REQUEST_PUT_TURN:
         if (record->turns->len == 1)
             turn_table_add(&store->turns, &g_array_index(record->turns, turn_t, 0), segment,
-                           store_time(store));
+                           store_record_time(store));
         break;
     case RECORD_TIME:
         replay_time(store, record->time);
@@ -45,7 +44,7 @@
 void store_replay(void *owner, uint32_t segment, const uint8_t *data, size_t length) {
     store_t *store = owner;
     message_t record;
-    store->records_read++;
+    store->records_replayed++;
     if (message_decode(&record, data, length))
         replay_record(store, segment, &record);
     message_clear(&record);
--- a/src/store/store_requests.c
+++ b/src/store/store_requests.c
@@ -1,13 +1,15 @@
 /*
- * Design. A write is refused if its sender acts in an older generation, both when it comes and
- * when it has reached the disk: a member that has shown its records to another under a later
- * generation acknowledges nothing for the earlier one. A reserve is always taken, and answered
- * twice: with the program's charges in short at once, and when it is on disk. Whether the budget
- * holds it is for the asker to decide over a quorum.
+ * Handles requests of gateways and of other members.
  *
- * Failures. What there is no room for is refused (store_room.c). A member that is not complete says
- * so instead of "there is no such record", and takes no reserve; it says whether it has room for a
- * turn all the same, since it keeps those.
+ * A write is refused if its sender's generation is outdated, both on receipt and after the sync:
+ * a member that has sent its records to another one under a later generation must not acknowledge
+ * writes of an earlier one. A reserve is answered twice: at once with a summary of the program's
+ * charges, and again when it is on disk. The sender decides over a quorum whether the budget
+ * allows it.
+ *
+ * Failures: requests for which there is no space are refused (store_room.c). A member that is not
+ * complete answers "unsure" instead of "not found" and accepts no reserves, but it stores turns
+ * and so still reports whether there is space for one.
  */
 #include "store/store.h"
 
@@ -18,25 +20,25 @@
 #include <xxhash.h>
 
 enum {
-    CHAIN_TURNS_MAXIMUM = 2000,
+    CHAIN_TURNS_MAX = 2000,
     MS_PER_S = 1000,
-    ADMISSIONS_LOGGED = 20,           /**< Lines on programs' admissions, */
-    ADMISSIONS_LOGGED_EACH_MS = 1000, /**< in so long. */
-    TELL_GATEWAYS_MS = 100,           /**< Changes of the list gather for so long, */
-    TELL_GATEWAYS_A_MS = 2,           /**< longer by 1 ms for so many gateways, */
-    TELL_GATEWAYS_MOST_MS = 1000, /**< but not beyond this: while all connect, lists change all the
-                                       time, and each takes a write to each of a cell. */
+    ADMISSION_LOG_LINES_MAX = 20, /**< Log lines on admissions in each period. */
+    ADMISSION_LOG_PERIOD_MS = 1000,
+    /** Changes of gateway lists are batched: each costs a message to every gateway of a cell. */
+    GATEWAY_LIST_DELAY_MS = 100,
+    GATEWAYS_PER_DELAY_MS = 2, /**< The delay grows by 1 ms for this many gateways. */
+    GATEWAY_LIST_DELAY_MAX_MS = 1000,
 };
 
-/** A write on its way to the disk. */
+/** A pending write. */
 typedef struct {
     store_t *store;
-    uint64_t connection_serial; /**< Of the connection that waits for an answer; 0: none does. */
+    uint64_t connection_serial; /**< Of the requester; 0: no response is expected. */
     uint64_t number;
     uint64_t generation;
-    uint64_t begun_at;      /**< Loop time, ms. */
-    turn_t turn;            /**< Empty unless a turn is written. */
-    budget_charge_t charge; /**< Empty unless a charge is, as it stands when written. */
+    uint64_t received_at;   /**< Loop time, ms. */
+    turn_t turn;            /**< Empty if a charge is written. */
+    budget_charge_t charge; /**< The charge as written; empty if a turn is. */
     void (*done)(void *owner, bool durable);
     void *owner;
 } write_t;
@@ -45,8 +47,8 @@
     return uv_now(store->loop);
 }
 
-static void answer(frame_connection_t *connection, message_type_t type, uint64_t number,
-                   uint64_t generation, verdict_t verdict) {
+static void send_response(frame_connection_t *connection, message_type_t type, uint64_t number,
+                          uint64_t generation, verdict_t verdict) {
     message_t message;
     message_init(&message, type);
     message.number = number;
@@ -56,49 +58,49 @@
     message_clear(&message);
 }
 
-/** The connection on which the write came, if it is still there. */
-static frame_connection_t *waiting_connection(const write_t *write) {
+/** The connection that the write was received on; NULL if it is closed. */
+static frame_connection_t *requester_connection(const write_t *write) {
     return g_hash_table_lookup(write->store->connections, &write->connection_serial);
 }
 
-/** What a write that has ended is answered; see store_turn_durable. */
+/** Verdict of the response to a finished write: unsure if this member is not complete. */
 static verdict_t durable_verdict(const store_t *store, bool durable) {
     if (!durable)
         return VERDICT_NO;
     return store_complete(store) ? VERDICT_YES : VERDICT_UNSURE;
 }
 
-static void note_charge_kept(store_t *store, const budget_charge_t *charge, uint32_t segment) {
+static void mark_charge_durable(store_t *store, const budget_charge_t *charge, uint32_t segment) {
     budget_table_note_kept(&store->budgets, charge);
-    turn_table_need_segment(&store->turns, segment, store_time(store) + BUDGET_RETENTION_MS);
+    turn_table_need_segment(&store->turns, segment, store_record_time(store) + BUDGET_RETENTION_MS);
 }
 
 static void on_write_done(void *owner, bool durable, uint32_t segment) {
     write_t *write = owner;
     store_t *store = write->store;
     if (write->turn.id != NULL)
-        store->turn_bytes_on_way -= turn_memory_bytes(&write->turn);
+        store->pending_turn_bytes -= turn_memory_bytes(&write->turn);
     if (durable && write->turn.id != NULL)
-        turn_table_add(&store->turns, &write->turn, segment, store_time(store));
+        turn_table_add(&store->turns, &write->turn, segment, store_record_time(store));
     else if (durable)
-        note_charge_kept(store, &write->charge, segment);
-    frame_connection_t *connection = waiting_connection(write);
+        mark_charge_durable(store, &write->charge, segment);
+    frame_connection_t *connection = requester_connection(write);
     if (connection != NULL) {
         bool current = write->generation == store->group->generation;
         if (!current)
-            answer(connection, RESPONSE_OLD_GENERATION, write->number, store->group->generation,
-                   VERDICT_UNSURE);
+            send_response(connection, RESPONSE_OLD_GENERATION, write->number,
+                          store->group->generation, VERDICT_UNSURE);
         else
-            answer(connection, RESPONSE_DURABLE, write->number, write->generation,
-                   durable_verdict(store, durable));
+            send_response(connection, RESPONSE_DURABLE, write->number, write->generation,
+                          durable_verdict(store, durable));
     }
     if (write->done != NULL)
         write->done(write->owner, durable);
-    if (write->begun_at > 0)
-        latency_histogram_add(&store->write_latency, now(store) - write->begun_at);
+    if (write->received_at > 0)
+        latency_histogram_add(&store->write_latency, now(store) - write->received_at);
     if (!durable) {
         store->writes_failed++;
-        store->write_failed_at = now(store);
+        store->last_write_failure_at = now(store);
         event_log(STORE_WRITE_FAILED, record_log_bytes(store->log));
     }
     turn_clear(&write->turn);
@@ -113,11 +115,11 @@
     write->connection_serial = request->number == 0 ? 0 : *frame_connection_serial(connection);
     write->number = request->number;
     write->generation = request->generation;
-    write->begun_at = now(store);
+    write->received_at = now(store);
     return write;
 }
 
-void store_mark_time(store_t *store) {
+void store_append_time_mark(store_t *store) {
     uint64_t mark;
     if (!record_clock_mark(&store->clock, now(store), &mark))
         return;
@@ -128,15 +130,15 @@
     message_clear(&record);
 }
 
-/** Appends @p record, of which a reference is taken over. */
+/** Appends @p record; takes over its reference. */
 static void append(store_t *store, GBytes *record, write_t *write) {
-    store_mark_time(store);
+    store_append_time_mark(store);
     if (write->turn.id != NULL)
-        store->turn_bytes_on_way += turn_memory_bytes(&write->turn);
+        store->pending_turn_bytes += turn_memory_bytes(&write->turn);
     record_log_append(store->log, record, on_write_done, write);
 }
 
-/** Appends a reserve or a settled charge, which is taken over from the request. */
+/** Appends a reserve or a settled charge; moves the charge out of the request. */
 static void append_charge(store_t *store, frame_connection_t *connection, message_t *request,
                           GBytes *record) {
     write_t *write = new_write(store, connection, request);
@@ -145,24 +147,24 @@
     append(store, g_bytes_ref(record), write);
 }
 
-static void reserve(store_t *store, frame_connection_t *connection, message_t *request,
-                    GBytes *record) {
+static void handle_reserve(store_t *store, frame_connection_t *connection, message_t *request,
+                           GBytes *record) {
     const budget_charge_t *charge = &request->charge;
     message_t response;
     message_init(&response, RESPONSE_RESERVE);
     response.number = request->number;
     response.generation = store->group->generation;
     bool complete = store_complete(store);
-    bool taken = complete && store_takes_reserve(store, charge);
-    response.verdict = taken ? VERDICT_YES : complete ? VERDICT_NO : VERDICT_UNSURE;
-    response.room = store_turn_may_begin(store);
-    store->reserves_refused += complete && !taken;
-    if (taken || !complete)
-        room_holds_begin(&store->holds, charge->call, now(store));
-    if (taken) {
+    bool accepted = complete && store_can_accept_reserve(store, charge);
+    response.verdict = accepted ? VERDICT_YES : complete ? VERDICT_NO : VERDICT_UNSURE;
+    response.room = store_can_start_turn(store);
+    store->reserves_refused += complete && !accepted;
+    if (accepted || !complete)
+        room_holds_begin(&store->reservations, charge->call, now(store));
+    if (accepted) {
         response.summary = budget_table_reserve(&store->budgets, charge->program, charge->call,
-                                                charge->most, store_time(store));
-        response.place = program_places_find(&store->places, charge->program);
+                                                charge->most, store_record_time(store));
+        response.place = program_places_find(&store->affinity, charge->program);
         append_charge(store, connection, request, record);
     }
     frame_connection_send(connection, message_encode(&response));
@@ -175,7 +177,8 @@
     g_array_append_val(response->charges, copy);
 }
 
-static void read_charges(store_t *store, frame_connection_t *connection, message_t *request) {
+static void handle_read_charges(store_t *store, frame_connection_t *connection,
+                                message_t *request) {
     message_t response;
     message_init(&response, RESPONSE_CHARGES);
     response.number = request->number;
@@ -185,48 +188,49 @@
     message_clear(&response);
 }
 
-/** The call has ended, and holds no room for its turn any more. */
-static void end_hold(store_t *store, const budget_charge_t *charge) {
+/** Releases the space reserved for the turn of a call that has ended. */
+static void release_reservation(store_t *store, const budget_charge_t *charge) {
     if (charge->spent == 0)
-        room_holds_cancel(&store->holds, charge->call);
+        room_holds_cancel(&store->reservations, charge->call);
     else
-        room_holds_end(&store->holds, charge->call, 0);
+        room_holds_end(&store->reservations, charge->call, 0);
 }
 
-static void settle(store_t *store, frame_connection_t *connection, message_t *request,
-                   GBytes *record) {
+static void handle_settle(store_t *store, frame_connection_t *connection, message_t *request,
+                          GBytes *record) {
     const budget_charge_t *charge = &request->charge;
-    end_hold(store, charge);
-    /* Of a reserve that was refused here: nothing was made, and nothing is held. */
-    if (charge->spent == 0 && !store_takes_reserve(store, charge))
+    release_reservation(store, charge);
+    /* The reserve was refused here and nothing was generated: there is nothing to record. */
+    if (charge->spent == 0 && !store_can_accept_reserve(store, charge))
         return;
     budget_table_settle(&store->budgets, charge->program, charge->call, charge->spent,
-                        store_time(store));
+                        store_record_time(store));
     request->charge.settled = true;
     append_charge(store, connection, request, record);
 }
 
-/** A turn that is here already is taken again: the answer may have been lost. */
-static bool takes_turn(store_t *store, const message_t *request) {
+/** A turn that is stored already is accepted again: the response may have been lost. */
+static bool accept_turn(store_t *store, const message_t *request) {
     const turn_t *turn = &g_array_index(request->turns, turn_t, 0);
-    return turn_table_find(&store->turns, turn->id) != NULL || store_takes_begun_turn(store);
+    return turn_table_find(&store->turns, turn->id) != NULL || store_accept_started_turn(store);
 }
 
-static void put_turn(store_t *store, frame_connection_t *connection, message_t *request,
-                     GBytes *record) {
-    bool taken = request->turns->len == 1 && takes_turn(store, request);
-    if (!taken) {
-        answer(connection, RESPONSE_DURABLE, request->number, request->generation, VERDICT_NO);
+static void handle_put_turn(store_t *store, frame_connection_t *connection, message_t *request,
+                            GBytes *record) {
+    bool accepted = request->turns->len == 1 && accept_turn(store, request);
+    if (!accepted) {
+        send_response(connection, RESPONSE_DURABLE, request->number, request->generation,
+                      VERDICT_NO);
         return;
     }
     const turn_t *turn = &g_array_index(request->turns, turn_t, 0);
     write_t *write = new_write(store, connection, request);
     turn_copy(&write->turn, turn);
-    room_holds_end(&store->holds, turn->id, turn_memory_bytes(turn));
+    room_holds_end(&store->reservations, turn->id, turn_memory_bytes(turn));
     append(store, g_bytes_ref(record), write);
 }
 
-static void read_chain(store_t *store, frame_connection_t *connection, message_t *request) {
+static void handle_read_chain(store_t *store, frame_connection_t *connection, message_t *request) {
     message_t response;
     message_init(&response, RESPONSE_CHAIN);
     response.number = request->number;
@@ -234,7 +238,7 @@
     const turn_t *turn = turn_table_find(&store->turns, request->turn_id);
     if (turn == NULL)
         response.verdict = store_complete(store) ? VERDICT_NO : VERDICT_UNSURE;
-    for (unsigned i = 0; turn != NULL && i < CHAIN_TURNS_MAXIMUM; i++) {
+    for (unsigned i = 0; turn != NULL && i < CHAIN_TURNS_MAX; i++) {
         message_add_turn(&response, turn);
         turn = *turn->parent == '\0' ? NULL : turn_table_find(&store->turns, turn->parent);
     }
@@ -242,7 +246,7 @@
     message_clear(&response);
 }
 
-static void read_turns(store_t *store, frame_connection_t *connection, message_t *request) {
+static void handle_read_turns(store_t *store, frame_connection_t *connection, message_t *request) {
     message_t response;
     message_init(&response, RESPONSE_TURNS);
     response.number = request->number;
@@ -251,16 +255,17 @@
         const turn_t *turn = turn_table_find(&store->turns, g_ptr_array_index(request->ids, i));
         if (turn == NULL)
             continue;
-        /* The copy is kept as long as this one. */
+        /* The copy expires when this one does. */
         message_add_turn(&response, turn);
         turn_t *copy = &g_array_index(response.turns, turn_t, response.turns->len - 1);
-        copy->retention_ms = turn_table_time_left(&store->turns, turn->id, store_time(store));
+        copy->retention_ms =
+            turn_table_time_left(&store->turns, turn->id, store_record_time(store));
     }
     frame_connection_send(connection, message_encode(&response));
     message_clear(&response);
 }
 
-static void take_group(store_t *store, const message_t *message) {
+static void handle_group(store_t *store, const message_t *message) {
     gsize length;
     const void *data = g_bytes_get_data(message->group, &length);
     store_group_t *group = store_group_decode(data, length);
@@ -270,16 +275,16 @@
     store_group_free(group);
 }
 
-static void tell_status(store_t *store, frame_connection_t *connection, const message_t *request) {
-    /* A generation that is not on disk could be forgotten: the asker must not build on it. */
+static void send_status(store_t *store, frame_connection_t *connection, const message_t *request) {
+    /* A generation that is not on disk could be lost: the requester must not rely on it. */
     uint64_t complete_in = store->group_durable ? store->complete_in : 0;
-    answer(connection, RESPONSE_STATUS, request->number, complete_in, VERDICT_YES);
+    send_response(connection, RESPONSE_STATUS, request->number, complete_in, VERDICT_YES);
 }
 
-/* Tenants' limits. */
+/* Quotas of tenants. */
 
-static void answer_allowance(const store_t *store, frame_connection_t *connection,
-                             const message_t *request, verdict_t verdict, uint32_t wait_ms) {
+static void send_allowance(const store_t *store, frame_connection_t *connection,
+                           const message_t *request, verdict_t verdict, uint32_t wait_ms) {
     message_t response;
     message_init(&response, RESPONSE_ALLOWANCE);
     response.number = request->number;
@@ -290,26 +295,27 @@
     message_clear(&response);
 }
 
-static void allow(store_t *store, frame_connection_t *connection, const message_t *request) {
-    quota_answer_t allowed =
+static void handle_allowance(store_t *store, frame_connection_t *connection,
+                             const message_t *request) {
+    quota_answer_t grant =
         quota_table_take(&store->quotas, request->tenant, &request->limit,
                          store->group->members->len, request->wait_ms, now(store));
-    answer_allowance(store, connection, request, allowed.granted ? VERDICT_YES : VERDICT_NO,
-                     allowed.wait_ms);
+    send_allowance(store, connection, request, grant.granted ? VERDICT_YES : VERDICT_NO,
+                   grant.wait_ms);
 }
 
-/** True if one more line on admissions may be written in this second. */
-static bool may_log_admission(store_t *store) {
-    uint64_t second = now(store) / ADMISSIONS_LOGGED_EACH_MS;
-    if (second != store->admissions_logged_at)
-        store->admissions_logged = 0;
-    store->admissions_logged_at = second;
-    return store->admissions_logged++ < ADMISSIONS_LOGGED;
+/** True if one more line on admissions may be logged in this period; counts it. */
+static bool admission_log_allowed(store_t *store) {
+    uint64_t second = now(store) / ADMISSION_LOG_PERIOD_MS;
+    if (second != store->admission_log_second)
+        store->admission_log_count = 0;
+    store->admission_log_second = second;
+    return store->admission_log_count++ < ADMISSION_LOG_LINES_MAX;
 }
 
 static void log_admission(store_t *store, const message_t *request,
                           const program_admission_t *admission, const program_share_t *share) {
-    if ((admission->admitted && !admission->readmitted) || !may_log_admission(store))
+    if ((admission->admitted && !admission->readmitted) || !admission_log_allowed(store))
         return;
     const char *program = request->charge.program;
     if (admission->admitted)
@@ -322,13 +328,13 @@
                   admission->under_way, admission->wait_ms);
 }
 
-static void allow_program(store_t *store, frame_connection_t *connection,
-                          const message_t *request) {
+static void handle_program_allowance(store_t *store, frame_connection_t *connection,
+                                     const message_t *request) {
     const char *program = request->charge.program;
     program_call_t call = {
         .program = XXH64(program, strlen(program), 0),
         .kind = request->kind,
-        .begun = request->begun || program_places_find(&store->places, program) != 0,
+        .begun = request->begun || program_places_find(&store->affinity, program) != 0,
         .late = request->late,
     };
     program_share_t share = {0};
@@ -337,52 +343,53 @@
                               store->group->members->len, &call, now(store), &share);
     log_admission(store, request, &admission, &share);
     if (admission.admitted)
-        allow(store, connection, request);
+        handle_allowance(store, connection, request);
     else
-        answer_allowance(store, connection, request, VERDICT_UNSURE, admission.wait_ms);
+        send_allowance(store, connection, request, VERDICT_UNSURE, admission.wait_ms);
 }
 
-static void charge(store_t *store, const message_t *message) {
+static void charge_quota(store_t *store, const message_t *message) {
     if (store_is_member(store))
         quota_table_charge(&store->quotas, message->tenant, &message->limit,
                            store->group->members->len, now(store));
 }
 
-/** Requests that only a member may answer, in the sender's generation. */
+/** Requests that only a member in the sender's generation may answer. */
 static void handle_member_request(store_t *store, frame_connection_t *connection,
                                   message_t *request, GBytes *record) {
     uint64_t generation = store->group->generation;
     if (request->generation != generation || !store_is_member(store)) {
-        answer(connection, RESPONSE_OLD_GENERATION, request->number, generation, VERDICT_UNSURE);
+        send_response(connection, RESPONSE_OLD_GENERATION, request->number, generation,
+                      VERDICT_UNSURE);
         return;
     }
     switch (request->type) {
     case REQUEST_RESERVE:
-        reserve(store, connection, request, record);
+        handle_reserve(store, connection, request, record);
         break;
     case REQUEST_CHARGES:
-        read_charges(store, connection, request);
+        handle_read_charges(store, connection, request);
         break;
     case REQUEST_PUT_TURN:
-        put_turn(store, connection, request, record);
+        handle_put_turn(store, connection, request, record);
         break;
     case REQUEST_ALLOWANCE:
-        allow(store, connection, request);
+        handle_allowance(store, connection, request);
         break;
     case REQUEST_PROGRAM_ALLOWANCE:
-        allow_program(store, connection, request);
+        handle_program_allowance(store, connection, request);
         break;
     default:
-        read_chain(store, connection, request);
+        handle_read_chain(store, connection, request);
         break;
     }
 }
 
-/* The gateways, which share what they have under way. */
+/* Lists of the gateways that exchange load reports. */
 
 typedef struct {
     const store_t *store;
-    GHashTable *encoded; /**< Of gateway_list_t to its encoded message, a GBytes. */
+    GHashTable *encoded; /**< gateway_list_t to its encoded message, a GBytes. */
 } gateway_lists_t;
 
 static GBytes *encode_list(const gateway_list_t *list) {
@@ -399,7 +406,7 @@
     return bytes;
 }
 
-static void tell_gateway(void *user, const uint64_t *serial, const gateway_list_t *list) {
+static void send_gateway_list(void *user, const uint64_t *serial, const gateway_list_t *list) {
     const gateway_lists_t *lists = user;
     GBytes *encoded = g_hash_table_lookup(lists->encoded, list);
     if (encoded == NULL) {
@@ -410,35 +417,36 @@
                           g_bytes_ref(encoded));
 }
 
-static void on_tell_gateways(uv_timer_t *timer) {
+static void on_gateway_list_timer(uv_timer_t *timer) {
     store_t *store = timer->data;
     gateway_lists_t lists = {
         store, g_hash_table_new_full(NULL, NULL, NULL, (GDestroyNotify)g_bytes_unref)};
-    gateway_directory_tell(&store->gateways, tell_gateway, &lists);
+    gateway_directory_tell(&store->gateways, send_gateway_list, &lists);
     g_hash_table_destroy(lists.encoded);
 }
 
-static void gateways_changed(store_t *store) {
-    uint64_t pause_ms =
-        TELL_GATEWAYS_MS + gateway_directory_count(&store->gateways) / TELL_GATEWAYS_A_MS;
-    if (!uv_is_active((const uv_handle_t *)&store->tell_gateways))
-        uv_timer_start(&store->tell_gateways, on_tell_gateways,
-                       MIN(pause_ms, (uint64_t)TELL_GATEWAYS_MOST_MS), 0);
+static void schedule_gateway_lists(store_t *store) {
+    uint64_t delay_ms =
+        GATEWAY_LIST_DELAY_MS + gateway_directory_count(&store->gateways) / GATEWAYS_PER_DELAY_MS;
+    if (!uv_is_active((const uv_handle_t *)&store->gateway_list_timer))
+        uv_timer_start(&store->gateway_list_timer, on_gateway_list_timer,
+                       MIN(delay_ms, (uint64_t)GATEWAY_LIST_DELAY_MAX_MS), 0);
 }
 
-static void take_gateway(store_t *store, frame_connection_t *connection, const message_t *message) {
+static void handle_gateway(store_t *store, frame_connection_t *connection,
+                           const message_t *message) {
     if (message->ids->len != 2)
         return;
     gateway_directory_add(&store->gateways, frame_connection_serial(connection),
                           g_ptr_array_index(message->ids, 0), g_ptr_array_index(message->ids, 1));
     store_directory_gateway_seen(store->directory, g_ptr_array_index(message->ids, 0));
-    gateways_changed(store);
+    schedule_gateway_lists(store);
 }
 
-void store_requests_start(store_t *store) {
+void store_requests_init(store_t *store) {
     gateway_directory_init(&store->gateways);
-    uv_timer_init(store->loop, &store->tell_gateways);
-    store->tell_gateways.data = store;
+    uv_timer_init(store->loop, &store->gateway_list_timer);
+    store->gateway_list_timer.data = store;
 }
 
 static void on_frame(void *owner, frame_connection_t *connection, const uint8_t *data,
@@ -453,7 +461,7 @@
     GBytes *record = g_bytes_new(data, length);
     switch (request.type) {
     case MESSAGE_GROUP:
-        take_group(store, &request);
+        handle_group(store, &request);
         break;
     case REQUEST_RESERVE:
     case REQUEST_CHARGES:
@@ -464,13 +472,13 @@
         handle_member_request(store, connection, &request, record);
         break;
     case REQUEST_SETTLE:
-        settle(store, connection, &request, record);
+        handle_settle(store, connection, &request, record);
         break;
     case MESSAGE_CHARGE:
-        charge(store, &request);
+        charge_quota(store, &request);
         break;
     case MESSAGE_PLACE:
-        program_places_note(&store->places, request.charge.program, request.place, now(store));
+        program_places_note(&store->affinity, request.charge.program, request.place, now(store));
         break;
     case MESSAGE_DIRECTORY:
         store_directory_take(store->directory, &request);
@@ -482,16 +490,16 @@
         store_directory_send(store->directory, connection);
         break;
     case MESSAGE_GATEWAY:
-        take_gateway(store, connection, &request);
+        handle_gateway(store, connection, &request);
         break;
     case REQUEST_STATUS:
-        tell_status(store, connection, &request);
+        send_status(store, connection, &request);
         break;
     case REQUEST_INDEX:
         store_send_index(store, connection, &request);
         break;
     case REQUEST_TURNS:
-        read_turns(store, connection, &request);
+        handle_read_turns(store, connection, &request);
         break;
     default:
         break;
@@ -512,7 +520,7 @@
     const uint64_t *serial = frame_connection_serial(connection);
     g_hash_table_remove(store->connections, serial);
     if (gateway_directory_remove(&store->gateways, serial))
-        gateways_changed(store);
+        schedule_gateway_lists(store);
 }
 
 const frame_handler_t store_request_handler = {on_open, on_frame, on_closed};
@@ -529,7 +537,7 @@
 
 static void merge_copy(store_t *store, const budget_charge_t *charge, write_t *write) {
     write->charge = budget_charge_copy(charge);
-    budget_table_merge(&store->budgets, charge, store_time(store));
+    budget_table_merge(&store->budgets, charge, store_record_time(store));
 }
 
 void store_append_copy(store_t *store, message_t *record, void (*done)(void *owner, bool durable),
--- a/src/store/store_room.c
+++ b/src/store/store_room.c
@@ -1,12 +1,12 @@
 /*
- * Design. A storage node says with each reserve whether one more turn may begin: whether what it
- * holds, what is on its way to the disk and what calls that have begun are going to bring stay
- * below the shares for turns. A turn that has begun is taken beyond these shares up to others: its
- * caller has waited for it, an engine has made it, and what it goes on from counts.
+ * Admission by free memory and disk space. The response to each reserve says whether one more turn
+ * may start: whether stored turns, pending writes and the space reserved for running calls stay
+ * below the limits for new turns. A turn whose call has already run is accepted up to higher
+ * limits, since refusing it would waste the engine's work and the caller's wait.
  *
- * Failures. Too little memory or disk refuses new turns first, then new reserves, then turns that
- * have begun, so that none of these ends the process; reads go on, and what was begun can be
- * settled.
+ * Failures: when memory or disk space runs low, new turns are refused first, then new reserves,
+ * then turns of running calls, so that the process does not run out of memory. Reads and settles
+ * of running calls continue.
  */
 #include "store/store.h"
 
@@ -14,94 +14,92 @@
 
 enum {
     PERCENT = 100,
-    MEGABYTE = 1024 * 1024,
-    /** Of the memory, for turns and charges: beyond this share, no reserve is taken. */
-    CHARGES_SHARE_PERCENT = 81,
+    BYTES_PER_MEGABYTE = 1024 * 1024,
+    /** Of the memory, for turns and charges: above it, new reserves are refused. */
+    RESERVES_MAX_PERCENT = 81,
     /**
-     * After a write has failed nothing begins for so long, in ms; then calls show whether the disk
-     * takes writes again. Of a disk that is full for longer, the calls of a few ms in each such
-     * time are run and fail; without it all are.
+     * No call starts for this long after a failed write. The next calls then probe the disk, so
+     * only few calls per period run and fail while the disk is full.
      */
-    DISK_FAILED_MS = 1000,
+    WRITE_FAILURE_BACKOFF_MS = 1000,
 };
 
-/** Up to which shares turns are taken, in percent. */
+/** Limits up to which turns are accepted, in percent. */
 typedef struct {
-    unsigned turns;   /**< Of the process's memory, for turns. */
-    unsigned records; /**< Of it, for turns and charges. */
+    unsigned turns;   /**< Of the memory, for turns. */
+    unsigned records; /**< Of the memory, for turns and charges. */
     unsigned disk;
-} room_shares_t;
+} space_limits_t;
 
-static const room_shares_t begin_shares = {.turns = 50, .records = 78, .disk = 85};
+static const space_limits_t start_limits = {.turns = 50, .records = 78, .disk = 85};
 /**
- * Sizes of turns differ from their mean, and what is copied from other members was not foreseen: so
- * much is left for those that have begun. With 17,000 turns and 70,000 charges the process took 4
- * MB more than the two by their tables' count, so that 84 % of 58 MB are the most for both.
+ * Leaves headroom above start_limits for turns larger than the mean and for records copied from
+ * other members. The process uses more memory than the tables account for, hence not 100 %.
  */
-static const room_shares_t begun_shares = {.turns = 58, .records = 84, .disk = 93};
+static const space_limits_t started_limits = {.turns = 58, .records = 84, .disk = 93};
 
-static uint64_t memory_share(const store_t *store, unsigned percent) {
-    return store->settings->memory_megabytes * MEGABYTE * percent / PERCENT;
+static uint64_t memory_limit(const store_t *store, unsigned percent) {
+    return store->settings->memory_megabytes * BYTES_PER_MEGABYTE * percent / PERCENT;
 }
 
-/** 0: any number of bytes. */
-static uint64_t disk_share(const store_t *store, unsigned percent) {
-    return store->settings->disk_megabytes * MEGABYTE * percent / PERCENT;
+/** 0: unlimited. */
+static uint64_t disk_limit(const store_t *store, unsigned percent) {
+    return store->settings->disk_megabytes * BYTES_PER_MEGABYTE * percent / PERCENT;
 }
 
-/** True if turns and charges take less than a share of the memory, with @p coming bytes more. */
-static bool records_fit(const store_t *store, unsigned percent, uint64_t coming) {
-    uint64_t bytes = store->turns.bytes + budget_table_bytes(&store->budgets) + coming;
-    return bytes < memory_share(store, percent);
+/** True if turns and charges plus @p incoming bytes stay below @p percent of the memory. */
+static bool records_fit(const store_t *store, unsigned percent, uint64_t incoming) {
+    uint64_t bytes = store->turns.bytes + budget_table_bytes(&store->budgets) + incoming;
+    return bytes < memory_limit(store, percent);
 }
 
-/** True if turns are below all shares with @p coming bytes more. */
-static bool turns_fit(const store_t *store, const room_shares_t *shares, uint64_t coming) {
-    uint64_t disk = disk_share(store, shares->disk);
-    return store->turns.bytes + coming < memory_share(store, shares->turns) &&
-           records_fit(store, shares->records, coming) &&
-           (disk == 0 || record_log_bytes(store->log) + coming < disk);
+/** True if turns plus @p incoming bytes stay below all limits. */
+static bool turns_fit(const store_t *store, const space_limits_t *limits, uint64_t incoming) {
+    uint64_t disk = disk_limit(store, limits->disk);
+    return store->turns.bytes + incoming < memory_limit(store, limits->turns) &&
+           records_fit(store, limits->records, incoming) &&
+           (disk == 0 || record_log_bytes(store->log) + incoming < disk);
 }
 
-/** Mean bytes of the turns that are held; 0 without any. */
+/** Mean size of the stored turns in bytes; 0 without any. */
 static uint64_t mean_turn_bytes(const store_t *store) {
     guint turns = g_hash_table_size(store->turns.entries);
     return turns == 0 ? 0 : store->turns.bytes / turns;
 }
 
-uint64_t store_held_turn_bytes(const store_t *store) {
-    return room_holds_bytes(&store->holds, mean_turn_bytes(store));
+uint64_t store_reserved_turn_bytes(const store_t *store) {
+    return room_holds_bytes(&store->reservations, mean_turn_bytes(store));
 }
 
-/** True if the disk was full, or took no writes for another reason, a moment ago. */
-static bool disk_fails(const store_t *store) {
-    return store->write_failed_at > 0 &&
-           uv_now(store->loop) < store->write_failed_at + DISK_FAILED_MS;
+/** True if a write failed within the backoff. */
+static bool disk_is_failing(const store_t *store) {
+    return store->last_write_failure_at > 0 &&
+           uv_now(store->loop) < store->last_write_failure_at + WRITE_FAILURE_BACKOFF_MS;
 }
 
-bool store_turn_may_begin(store_t *store) {
-    uint64_t coming = store->turn_bytes_on_way + store_held_turn_bytes(store);
-    bool failing = disk_fails(store);
-    bool room = !failing && turns_fit(store, &begin_shares, coming);
-    if (room == store->out_of_room)
-        event_log(STORE_ROOM, room ? "yes" : "no", failing ? "fails" : "works",
+bool store_can_start_turn(store_t *store) {
+    uint64_t incoming = store->pending_turn_bytes + store_reserved_turn_bytes(store);
+    bool failing = disk_is_failing(store);
+    bool has_space = !failing && turns_fit(store, &start_limits, incoming);
+    if (has_space == store->out_of_space)
+        event_log(STORE_ROOM, has_space ? "yes" : "no", failing ? "fails" : "works",
                   store->refused_for_room, store->turns.bytes,
-                  memory_share(store, begin_shares.turns), coming,
+                  memory_limit(store, start_limits.turns), incoming,
                   budget_table_bytes(&store->budgets), record_log_bytes(store->log),
-                  disk_share(store, begin_shares.disk));
-    store->out_of_room = !room;
-    return room;
+                  disk_limit(store, start_limits.disk));
+    store->out_of_space = !has_space;
+    return has_space;
 }
 
-bool store_takes_begun_turn(store_t *store) {
-    uint64_t coming = store->turn_bytes_on_way;
-    bool room = turns_fit(store, &begun_shares, coming);
-    store->refused_for_room += !room;
-    store->taken_beyond_share += room && !turns_fit(store, &begin_shares, coming);
-    return room;
+bool store_accept_started_turn(store_t *store) {
+    uint64_t incoming = store->pending_turn_bytes;
+    bool has_space = turns_fit(store, &started_limits, incoming);
+    store->refused_for_room += !has_space;
+    store->taken_beyond_share += has_space && !turns_fit(store, &start_limits, incoming);
+    return has_space;
 }
 
-bool store_takes_reserve(const store_t *store, const budget_charge_t *charge) {
-    bool fits = !disk_fails(store) && records_fit(store, CHARGES_SHARE_PERCENT, 0);
+bool store_can_accept_reserve(const store_t *store, const budget_charge_t *charge) {
+    bool fits = !disk_is_failing(store) && records_fit(store, RESERVES_MAX_PERCENT, 0);
     return fits || budget_table_knows(&store->budgets, charge->program, charge->call);
 }
--- a/src/store/store_state.c
+++ b/src/store/store_state.c
@@ -1,7 +1,8 @@
 /*
- * The state file holds what must survive a restart besides the records: that this disk dates from
- * the system's first start, the latest group, and the generation in which the node is complete.
- * A node without a state file has lost its disk, or is new: it is complete in no generation.
+ * The state file holds what must survive a restart besides the records: whether this disk dates
+ * from the first start of the system, the latest group, the generation in which the node is
+ * complete, and the directory. A node without a state file is new or has lost its disk, and is
+ * complete in no generation.
  */
 #include "store/store.h"
 
@@ -12,7 +13,7 @@
     codec_bool(codec, &store->founding);
     codec_uint64(codec, complete_in);
     store_group_codec(codec, store->group);
-    /* Files of earlier versions end here. */
+    /* Files of earlier versions have no directory. */
     bool ends = codec->decoding && codec->position == codec->length;
     if (!ends)
         store_directory_codec(codec, store->directory);
@@ -28,7 +29,7 @@
     state_write_t *write = owner;
     store_t *store = write->store;
     (void)segment;
-    store->state_writes--;
+    store->pending_state_writes--;
     if (durable) {
         store->identity_durable = true;
         store->group_durable =
@@ -49,12 +50,12 @@
     write->store = store;
     write->generation = store->group->generation;
     write->complete_in = complete_in;
-    store->state_writes++;
+    store->pending_state_writes++;
     record_log_write_state(store->log, codec_finish(&codec), on_state_written, write);
 }
 
 bool store_state_settled(const store_t *store) {
-    return store->state_writes == 0;
+    return store->pending_state_writes == 0;
 }
 
 void store_write_state(store_t *store) {
@@ -120,7 +121,7 @@
     store->group_durable = false;
     event_log(STORE_GROUP_CHANGED, group->generation, group->members->len,
               store_is_member(store) ? "yes" : "no");
-    /* The first group holds nothing yet: whoever has kept its disk since then is complete. */
+    /* Nothing was acknowledged before the first group: a founding member is complete in it. */
     bool complete = group->generation == 1 && store->founding && store_is_member(store);
     write_state(store, complete ? 1 : store->complete_in);
     GHashTableIter iterator;
--- a/tests/unit/record_log_test.cc
+++ b/tests/unit/record_log_test.cc
@@ -1,4 +1,4 @@
-// The synced log on a real folder: torn tails, holes, full disks, lost state.
+// The write-ahead log on a real file system: torn tails, holes, full disks, invalid state files.
 #include <glib.h>
 
 extern "C" {
@@ -54,7 +54,7 @@
     }
     static void done(void *owner, bool durable, uint32_t) {
         auto *test = static_cast<RecordLog *>(owner);
-        (durable ? test->durable : test->refused)++;
+        (durable ? test->durable : test->failed)++;
     }
     void append(record_log_t *log, const std::string &text) {
         record_log_append(log, g_bytes_new(text.data(), text.size()), done, this);
@@ -72,14 +72,14 @@
     std::string folder;
     std::vector<std::string> replayed;
     int durable = 0;
-    int refused = 0;
+    int failed = 0;
 };
 
-TEST_F(RecordLog, ReplaysWhatWasDurableInItsOrder) {
+TEST_F(RecordLog, ReplaysDurableRecordsInOrder) {
     record_log_t *log = open();
     for (int i = 0; i < 50; i++)
         append(log, "record " + std::to_string(i));
-    EXPECT_EQ(durable, 0) << "nothing is durable before the disk has it";
+    EXPECT_EQ(durable, 0) << "a record was reported as durable before it was synced";
     wait();
     EXPECT_EQ(durable, 50);
     append(log, "last");
@@ -90,16 +90,16 @@
     EXPECT_EQ(replayed[50], "last");
 }
 
-TEST_F(RecordLog, ATornTailOrAHoleEndsTheSegmentAtTheLastSoundRecord) {
+TEST_F(RecordLog, ReplayEndsAtTheLastRecordBeforeATornTailOrAHole) {
     record_log_t *log = open();
     for (int i = 0; i < 20; i++)
         append(log, std::string(100, static_cast<char>('a' + i)));
     wait();
     std::ifstream file(segment(1), std::ios::binary);
-    std::string sound((std::istreambuf_iterator<char>(file)), {});
+    std::string intact((std::istreambuf_iterator<char>(file)), {});
     std::mt19937 random(1);
     for (int round = 0; round < 300; round++) {
-        std::string torn = sound;
+        std::string torn = intact;
         size_t at = random() % torn.size();
         if (round % 3 == 0)
             torn.resize(at);
@@ -116,7 +116,7 @@
     }
 }
 
-TEST_F(RecordLog, ARestartNeverWritesBehindATornTail) {
+TEST_F(RecordLog, RestartNeverAppendsAfterATornTail) {
     append(open(), "first");
     wait();
     std::ofstream(segment(1), std::ios::binary | std::ios::app) << "torn";
@@ -127,7 +127,7 @@
     EXPECT_EQ(replayed[1], "second");
 }
 
-TEST_F(RecordLog, AFullDiskRefusesAndTheLogGoesOnWhenThereIsRoom) {
+TEST_F(RecordLog, WritesFailOnAFullDiskAndSucceedOnceThereIsSpace) {
     signal(SIGXFSZ, SIG_IGN);
     rlimit before;
     getrlimit(RLIMIT_FSIZE, &before);
@@ -140,7 +140,7 @@
     append(log, std::string(500, 'x'));
     wait();
     EXPECT_EQ(durable, 1);
-    EXPECT_EQ(refused, 1);
+    EXPECT_EQ(failed, 1);
     setrlimit(RLIMIT_FSIZE, &before);
     append(log, "kept too");
     wait();
@@ -150,7 +150,7 @@
     EXPECT_EQ(replayed[1], "kept too");
 }
 
-TEST_F(RecordLog, TheStateIsReplacedWholeAndAnUnsoundOneIsNone) {
+TEST_F(RecordLog, StateIsReplacedAtomicallyAndAnInvalidStateIsIgnored) {
     record_log_t *log = open();
     EXPECT_EQ(record_log_read_state(log), nullptr);
     for (const char *text : {"one", "two"})
@@ -164,7 +164,7 @@
     EXPECT_EQ(record_log_read_state(open()), nullptr);
 }
 
-TEST_F(RecordLog, TrimsOldSegmentsInOrderAndNeverTheOneBeingWritten) {
+TEST_F(RecordLog, TrimsClosedSegmentsInOrderAndKeepsTheOpenOne) {
     record_log_t *log = open();
     for (int i = 0; i < 12; i++) {
         append(log, std::string(1 << 20, 'x'));
