--- a/src/store/store.h
+++ b/src/store/store.h
@@ -40,7 +40,7 @@
     program_places_t affinity;
     quota_table_t quotas;          /**< This member's shares of the tenants' limits. */
     admission_table_t admissions;  /**< Programs of these tenants that have their home here. */
-    uint64_t admission_log_second; /**< Second of the latest log line on admissions. */
+    uint64_t admission_log_second; /**< Of the latest line, logged or suppressed. */
     unsigned admission_log_count;  /**< Lines due in that second, including suppressed ones. */
     frame_listener_t *listener;
     GHashTable *connections;       /**< Inbound: serial number to frame_connection_t. */
@@ -61,7 +61,7 @@
     uint64_t pending_turn_bytes;    /**< Of turns that are being written. */
     uint64_t refused_for_room;      /**< Turns of running calls refused for lack of space. */
     uint64_t taken_beyond_share;    /**< Turns accepted above the limits for new turns. */
-    uint64_t reserves_refused;      /**< Reserves refused for lack of memory. */
+    uint64_t reserves_refused;      /**< For lack of memory, or after a failed write. */
     bool out_of_space;              /**< No new turn may start, per the last reserve. */
     uint64_t records_replayed;      /**< From the log, at startup. */
     uint64_t turns_copied;          /**< From other members. */
@@ -124,9 +124,9 @@
 
 /** True if there is space for one more turn; logs each change of the result. */
 bool store_can_start_turn(store_t *store);
-/** True if there is space for the turn of a running call; counts a refusal. */
+/** True if there is space for the turn of a running call; updates the counters of such turns. */
 bool store_accept_started_turn(store_t *store);
-/** True if the charge's call is known already, or there is memory for it. */
+/** True if the charge's call is known already, or memory and disk accept a new one. */
 bool store_can_accept_reserve(const store_t *store, const budget_charge_t *charge);
 /** Bytes reserved for the turns of running calls. */
 uint64_t store_reserved_turn_bytes(const store_t *store);
