--- a/src/store/main.c
+++ b/src/store/main.c
@@ -56,7 +56,7 @@
         .kind = PROCESS_STORE,
         .run = run,
     };
-    /* Only record_log.c uses the thread pool, with one batch at a time. */
+    /* One thread is enough: only record_log.c uses the pool, with one batch at a time. */
     setenv("UV_THREADPOOL_SIZE", "1", 1);
     return program_main(&program, argc, argv);
 }
--- a/src/store/record_log.c
+++ b/src/store/record_log.c
@@ -5,8 +5,8 @@
  * truncated to the offset and the batch's records are reported as not durable.
  *
  * Failures: after a power loss a segment may end in torn or missing records, none of which was
- * acknowledged. The folder is synced to make the name of a new file durable. A removed segment may
- * reappear; replaying it only restores records that are no longer used.
+ * acknowledged. The folder is synced to make the name of a new file durable. The removal of a
+ * segment is not synced: if the segment reappears, its replay only restores unused records.
  */
 #include "store/record_log.h"
 
@@ -32,7 +32,7 @@
     GBytes *bytes;
     record_log_done_t done;
     void *owner;
-    uint64_t enqueued_at; /**< ns, as all times here. */
+    uint64_t enqueued_at; /**< Of uv_hrtime(), in ns, as all times here. */
     bool state;           /**< Replaces the state file instead of being appended. */
 } pending_t;
 
@@ -55,15 +55,15 @@
     bool appended;
     bool state_written;
     uint64_t submitted_at; /**< When the loop handed it to the thread pool. */
-    uint64_t started_at;   /**< When the thread began with it. */
-    uint64_t finished_at;  /**< When the disk had synced all of it. */
+    uint64_t started_at;   /**< When the thread started to write it. */
+    uint64_t finished_at;  /**< When the thread had synced all of it. */
 } batch_t;
 
 struct record_log {
     uv_loop_t *loop;
     char *folder;
     GArray *segments; /**< Of segment_t, oldest first; the last one is open for writing. */
-    int file;         /**< Of the last segment; -1 until its first write. */
+    int file;         /**< Descriptor of the last segment; -1 until its first write. */
     GArray *pending;
     bool busy;
 };
@@ -98,7 +98,7 @@
     return (gssize)length;
 }
 
-/* Disk thread. */
+/* Functions of the pool's thread. */
 
 static bool write_all(int file, const guint8 *data, size_t length, uint64_t offset) {
     while (length > 0) {
@@ -166,7 +166,7 @@
     batch->finished_at = uv_hrtime();
 }
 
-/* Loop thread. */
+/* Functions of the loop's thread. */
 
 static segment_t *last_segment(record_log_t *log) {
     return &g_array_index(log->segments, segment_t, log->segments->len - 1);
@@ -196,7 +196,10 @@
     return (end_ns - start_ns) / NS_PER_MS;
 }
 
-/** Logs at most four lines a second: a record waits for the previous batch and its own. */
+/**
+ * Needs no rate limit: a record waits for at most two batches, the previous one and its own, so
+ * that a slow one is logged at most about every SLOW_WRITE_MS / 2.
+ */
 static void log_slow_batch(const batch_t *batch) {
     uint64_t enqueued_at = g_array_index(batch->entries, pending_t, 0).enqueued_at;
     uint64_t done_at = uv_hrtime();
--- a/src/store/record_log.h
+++ b/src/store/record_log.h
@@ -40,7 +40,7 @@
 /** Removes closed segments, oldest first, up to the first one that is in use. */
 void record_log_trim(record_log_t *log, bool (*is_unused)(void *owner, uint32_t segment),
                      void *owner);
-/** Size of all segments. */
+/** Size of all segments in bytes. */
 uint64_t record_log_bytes(const record_log_t *log);
 /** True if no write is pending. */
 bool record_log_idle(const record_log_t *log);
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -5,7 +5,7 @@
 
 enum {
     QUOTA_RETENTION_MS = 120000,   /**< Tenants idle for longer are removed. */
-    AFFINITY_RETENTION_MS = 60000, /**< After this an engine has evicted an unused prompt. */
+    AFFINITY_RETENTION_MS = 60000, /**< By then engines have evicted an idle prompt. */
 };
 
 static bool segment_is_unused(void *owner, uint32_t segment) {
@@ -25,8 +25,8 @@
         budget_table_expire(&store->budgets, time - BUDGET_RETENTION_MS);
 }
 
-/** True if the log has records that expire. */
-static bool has_records(const store_t *store) {
+/** True if any record can expire. Otherwise time marks would only make the log grow. */
+static bool has_expiring_records(const store_t *store) {
     return g_hash_table_size(store->turns.entries) + g_hash_table_size(store->budgets.programs) > 0;
 }
 
@@ -35,7 +35,7 @@
     uint64_t now = uv_now(store->loop);
     store_forget_expired(store);
     room_holds_expire(&store->reservations, now);
-    if (has_records(store))
+    if (has_expiring_records(store))
         store_append_time_mark(store);
     if (now > AFFINITY_RETENTION_MS)
         program_places_expire(&store->affinity, now - AFFINITY_RETENTION_MS);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -33,36 +33,36 @@
     uv_loop_t *loop;
     const process_settings_t *settings;
     record_log_t *log;
-    record_clock_t clock;    /**< The time by which turns and charges age; see store_record_time. */
+    record_clock_t clock;    /**< Determines the age of turns and charges; see store_record_time. */
     uint64_t last_expiry_at; /**< When expired records were last removed, by that clock. */
     turn_table_t turns;
     budget_table_t budgets;
     program_places_t affinity;
     quota_table_t quotas;          /**< This member's shares of the tenants' limits. */
     admission_table_t admissions;  /**< Programs of these tenants that have their home here. */
-    uint64_t admission_log_second; /**< Of the latest line, logged or suppressed. */
+    uint64_t admission_log_second; /**< Second in which the latest line was due. */
     unsigned admission_log_count;  /**< Lines due in that second, including suppressed ones. */
     frame_listener_t *listener;
-    GHashTable *connections;       /**< Inbound: serial number to frame_connection_t. */
+    GHashTable *connections;       /**< Inbound; maps serial number to frame_connection_t. */
     uv_timer_t gateway_list_timer; /**< Active while changed gateway lists are to be sent. */
     gateway_directory_t gateways;
-    store_group_t *group;  /**< The latest known; generation 0 if none. */
-    bool group_durable;    /**< The state file holds that generation. */
-    bool founding;         /**< This disk dates from the system's first start. */
-    bool identity_durable; /**< The state file was written. */
-    uint64_t complete_in;  /**< Generation in which this node is complete; 0: none. */
+    store_group_t *group;  /**< Latest known group; generation 0 if none. */
+    bool group_durable;    /**< The state file on disk holds this group. */
+    bool founding;         /**< On this disk since the system's first start: may found a group. */
+    bool identity_durable; /**< The state file is on disk. */
+    uint64_t complete_in;  /**< Generation whose acknowledged records this node holds; 0: none. */
     uint64_t started_at;
-    uv_timer_t upkeep;
+    uv_timer_t upkeep; /**< Periodic expiry; the stop timeout once stopping. */
     bool stopping;
     latency_histogram_t write_latency; /**< From receipt of a write until it is on disk. */
     uint64_t writes_failed;
     uint64_t last_write_failure_at; /**< Loop time; 0: no write has failed. */
     room_holds_t reservations;      /**< Space for the turns of running calls. */
-    uint64_t pending_turn_bytes;    /**< Of turns that are being written. */
+    uint64_t pending_turn_bytes;    /**< Size of the turns that are being written. */
     uint64_t refused_for_room;      /**< Turns of running calls refused for lack of space. */
-    uint64_t taken_beyond_share;    /**< Turns accepted above the limits for new turns. */
+    uint64_t taken_beyond_share;    /**< Such turns accepted above the limits for new turns. */
     uint64_t reserves_refused;      /**< For lack of memory, or after a failed write. */
-    bool out_of_space;              /**< No new turn may start, per the last reserve. */
+    bool out_of_space;              /**< The response to the last reserve allowed no new turn. */
     uint64_t records_replayed;      /**< From the log, at startup. */
     uint64_t turns_copied;          /**< From other members. */
     uint64_t copy_looks;            /**< Turn ids examined while copying. */
@@ -75,16 +75,16 @@
 enum {
     /** How long charges are kept after their program's last call. */
     BUDGET_RETENTION_MS = 300000,
-    /** Interval at which expired turns and charges are removed, also by log time in a replay. */
+    /** Interval at which expired turns and charges are removed; during a replay, in log time. */
     STORE_UPKEEP_INTERVAL_MS = 5000,
 };
 
 /**
  * store.c: reads the log, listens, and joins the group. The caller sets loop and settings first.
- * Returns false and sets @p error if the folder cannot be read or the address not be listened on.
+ * Returns false and sets @p error if it cannot read the folder or listen on the address.
  */
 bool store_open(store_t *store, GError **error);
-/** The time by which turns and charges age, in ms; see record_clock.h. */
+/** Time in ms by which turns and charges expire; stops while the node is down (record_clock.h). */
 uint64_t store_record_time(const store_t *store);
 /** Removes expired turns and charges. */
 void store_forget_expired(store_t *store);
@@ -93,10 +93,10 @@
 
 /** Adopts a group if it is later than the current one, and sends it to all connections. */
 void store_adopt_group(store_t *store, const store_group_t *group);
-/** True if this node is a member that holds all that its group acknowledged. */
+/** True if this node holds all records that its group has acknowledged. */
 bool store_complete(const store_t *store);
 bool store_is_member(const store_t *store);
-/** Sets the generation in which this node is complete, effective once it is on disk. */
+/** Marks this node as complete in @p generation, effective once the state file is on disk. */
 void store_set_complete(store_t *store, uint64_t generation);
 /** Writes the state file, asynchronously. */
 void store_write_state(store_t *store);
@@ -114,7 +114,7 @@
 size_t store_buffer_bytes(const store_t *store);
 /** Initializes the list of gateways. */
 void store_requests_init(store_t *store);
-/** Appends a time mark to the log if one is due; called before each record and in upkeep. */
+/** Appends a time mark to the log if one is due; called before each record and periodically. */
 void store_append_time_mark(store_t *store);
 /** Appends a record that was copied from another member; @p done may be NULL. */
 void store_append_copy(store_t *store, message_t *record, void (*done)(void *owner, bool durable),
@@ -124,16 +124,16 @@
 
 /** True if there is space for one more turn; logs each change of the result. */
 bool store_can_start_turn(store_t *store);
-/** True if there is space for the turn of a running call; updates the counters of such turns. */
+/** True if there is space for the turn of a running call; counts turns refused or over limit. */
 bool store_accept_started_turn(store_t *store);
-/** True if the charge's call is known already, or memory and disk accept a new one. */
+/** True if the charge's call is recorded already, or there is memory and no recent write failed. */
 bool store_can_accept_reserve(const store_t *store, const budget_charge_t *charge);
 /** Bytes reserved for the turns of running calls. */
 uint64_t store_reserved_turn_bytes(const store_t *store);
 
-/* store_index.c */
+/* store_index.c: comparison of records during catch-up. */
 
-/** Answers a member that requests the differences from what it holds. */
+/** Sends a page of the turn ids and charges in the digest buckets that differ from the sender's. */
 void store_send_index(store_t *store, frame_connection_t *connection, const message_t *request);
 
 /* store_replay.c */
--- a/src/store/store_replay.c
+++ b/src/store/store_replay.c
@@ -4,8 +4,8 @@
  */
 #include "store/store.h"
 
-/** Expires records at the log's own times, so that replay never holds more than the node did. */
-static void replay_time(store_t *store, uint64_t mark) {
+/** Removes expired records as in normal operation, so that a replay needs no more memory. */
+static void replay_time_mark(store_t *store, uint64_t mark) {
     record_clock_read(&store->clock, mark);
     if (store_record_time(store) >= store->last_expiry_at + STORE_UPKEEP_INTERVAL_MS)
         store_forget_expired(store);
@@ -34,7 +34,7 @@
                            store_record_time(store));
         break;
     case RECORD_TIME:
-        replay_time(store, record->time);
+        replay_time_mark(store, record->time);
         break;
     default:
         break;
--- a/src/store/store_requests.c
+++ b/src/store/store_requests.c
@@ -1,7 +1,7 @@
 /*
  * Handles requests of gateways and of other members.
  *
- * A write is refused if its sender's generation is outdated, both on receipt and after the sync:
+ * A write is refused if its sender's generation is outdated, on receipt and again after the sync:
  * a member that has sent its records to another one under a later generation must not acknowledge
  * writes of an earlier one. A reserve is answered twice: at once with a summary of the program's
  * charges, and again when it is on disk. The sender decides over a quorum whether the budget
@@ -22,11 +22,14 @@
 enum {
     CHAIN_TURNS_MAX = 2000,
     MS_PER_S = 1000,
-    ADMISSION_LOG_LINES_MAX = 20, /**< Log lines on admissions in each period. */
+    ADMISSION_LOG_LINES_MAX = 20, /**< Per ADMISSION_LOG_PERIOD_MS. */
     ADMISSION_LOG_PERIOD_MS = 1000,
-    /** Changes of gateway lists are batched: each costs a message to every gateway of a cell. */
+    /**
+     * Batches changes of gateway lists: each change costs a message to every gateway of a cell
+     * (gateway_directory.h).
+     */
     GATEWAY_LIST_DELAY_MS = 100,
-    GATEWAYS_PER_DELAY_MS = 2, /**< The delay grows by 1 ms for this many gateways. */
+    GATEWAYS_PER_DELAY_MS = 2, /**< Number of gateways that add 1 ms to the delay. */
     GATEWAY_LIST_DELAY_MAX_MS = 1000,
 };
 
@@ -63,7 +66,7 @@
     return g_hash_table_lookup(write->store->connections, &write->connection_serial);
 }
 
-/** Verdict of the response to a finished write: unsure if this member is not complete. */
+/** Verdict of the response to a finished write; unsure if this member may lack records. */
 static verdict_t durable_verdict(const store_t *store, bool durable) {
     if (!durable)
         return VERDICT_NO;
@@ -389,7 +392,7 @@
 
 typedef struct {
     const store_t *store;
-    GHashTable *encoded; /**< gateway_list_t to its encoded message, a GBytes. */
+    GHashTable *encoded; /**< Maps gateway_list_t to its encoded message, a GBytes. */
 } gateway_lists_t;
 
 static GBytes *encode_list(const gateway_list_t *list) {
--- a/src/store/store_room.c
+++ b/src/store/store_room.c
@@ -15,7 +15,7 @@
 enum {
     PERCENT = 100,
     BYTES_PER_MEGABYTE = 1024 * 1024,
-    /** Of the memory, for turns and charges: above it, new reserves are refused. */
+    /** New reserves are refused once turns and charges use this share of the memory. */
     RESERVES_MAX_PERCENT = 81,
     /**
      * No call starts for this long after a failed write. The next calls then probe the disk, so
@@ -26,9 +26,9 @@
 
 /** Limits up to which turns are accepted, in percent. */
 typedef struct {
-    unsigned turns;   /**< Of the memory, for turns. */
-    unsigned records; /**< Of the memory, for turns and charges. */
-    unsigned disk;
+    unsigned turns;   /**< Share of the memory that turns may use. */
+    unsigned records; /**< Share of the memory that turns and charges may use together. */
+    unsigned disk;    /**< Share of the disk that the log may use. */
 } space_limits_t;
 
 static const space_limits_t start_limits = {.turns = 50, .records = 78, .disk = 85};
@@ -42,18 +42,18 @@
     return store->settings->memory_megabytes * BYTES_PER_MEGABYTE * percent / PERCENT;
 }
 
-/** 0: unlimited. */
+/** In bytes; 0: unlimited. */
 static uint64_t disk_limit(const store_t *store, unsigned percent) {
     return store->settings->disk_megabytes * BYTES_PER_MEGABYTE * percent / PERCENT;
 }
 
-/** True if turns and charges plus @p incoming bytes stay below @p percent of the memory. */
+/** True if @p incoming bytes can be added to turns and charges below @p percent of the memory. */
 static bool records_fit(const store_t *store, unsigned percent, uint64_t incoming) {
     uint64_t bytes = store->turns.bytes + budget_table_bytes(&store->budgets) + incoming;
     return bytes < memory_limit(store, percent);
 }
 
-/** True if turns plus @p incoming bytes stay below all limits. */
+/** True if @p incoming bytes of turns can be added below all limits. */
 static bool turns_fit(const store_t *store, const space_limits_t *limits, uint64_t incoming) {
     uint64_t disk = disk_limit(store, limits->disk);
     return store->turns.bytes + incoming < memory_limit(store, limits->turns) &&
@@ -71,7 +71,7 @@
     return room_holds_bytes(&store->reservations, mean_turn_bytes(store));
 }
 
-/** True if a write failed within the backoff. */
+/** True if a write failed less than WRITE_FAILURE_BACKOFF_MS ago. */
 static bool disk_is_failing(const store_t *store) {
     return store->last_write_failure_at > 0 &&
            uv_now(store->loop) < store->last_write_failure_at + WRITE_FAILURE_BACKOFF_MS;
--- a/src/store/store_state.c
+++ b/src/store/store_state.c
@@ -1,8 +1,8 @@
 /*
- * The state file holds what must survive a restart besides the records: whether this disk dates
- * from the first start of the system, the latest group, the generation in which the node is
- * complete, and the directory. A node without a state file is new or has lost its disk, and is
- * complete in no generation.
+ * The state file holds what must survive a restart besides the records: whether the disk has been
+ * in use since the first start of the whole system, the latest group, the generation in which the
+ * node is complete (holds all acknowledged records), and the directory (store_directory.h). A node
+ * without a valid state file is new or has lost its disk, and is not complete.
  */
 #include "store/store.h"
 
@@ -13,7 +13,7 @@
     codec_bool(codec, &store->founding);
     codec_uint64(codec, complete_in);
     store_group_codec(codec, store->group);
-    /* Files of earlier versions have no directory. */
+    /* State files of earlier versions end here, without the directory. */
     bool ends = codec->decoding && codec->position == codec->length;
     if (!ends)
         store_directory_codec(codec, store->directory);
--- a/tests/unit/store_room_test.cc
+++ b/tests/unit/store_room_test.cc
@@ -67,7 +67,7 @@
                                  &handler, &reserves_sent[number]);
     }
 
-    /** One reserve per millisecond; none expires meanwhile. */
+    /** Sends one reserve per millisecond; no charge expires meanwhile. */
     void fill() {
         for (unsigned i = 0; i < reserves; i++) {
             reserve(i);
@@ -218,7 +218,7 @@
     set_disk_full(1, true);
     reserve(1, true, immediate_ms);
     EXPECT_EQ(verdicts.given[VERDICT_YES], 2u)
-        << "the first failed write on the second disk was not known yet";
+        << "a call was refused before a write failed on the second disk";
     reserve(2, true, immediate_ms);
     EXPECT_EQ(verdicts.without_space, 1u);
     set_disk_full(0, false);
@@ -239,7 +239,7 @@
 }
 
 // A granted turn must be stored, although storage nodes decide on space while earlier turns are
-// still being written and several callers are told of the same free space. Otherwise a quorum may
+// still being written and several responses report the same free space. Otherwise a quorum may
 // grant a turn that too many members refuse after the engine has run it.
 class GrantedTurns : public testing::TestWithParam<unsigned> {
   public:
@@ -250,7 +250,7 @@
      * Each caller stores turns one after the other until it is refused. Turns have @p bytes times 1
      * to @p sizes.
      */
-    void play(uint64_t seed, unsigned callers, size_t bytes, unsigned sizes = 1);
+    void run_callers(uint64_t seed, unsigned callers, size_t bytes, unsigned sizes = 1);
 
     unsigned stored = 0;
     unsigned not_stored = 0;
@@ -311,7 +311,7 @@
     };
 };
 
-void GrantedTurns::play(uint64_t seed, unsigned callers, size_t bytes, unsigned sizes) {
+void GrantedTurns::run_callers(uint64_t seed, unsigned callers, size_t bytes, unsigned sizes) {
     constexpr unsigned gateways = 2;
     constexpr uint64_t timeout_ms = 60000;
     const world_shape_t shape = {3, 0, gateways, memory_megabytes, BREAK_NOTHING};
@@ -332,25 +332,25 @@
 }
 
 TEST_P(GrantedTurns, OfOneCallerAreAllStored) {
-    play(GetParam(), 1, 40000);
+    run_callers(GetParam(), 1, 40000);
     EXPECT_EQ(not_stored, 0u) << stored << " were stored";
 }
 
 TEST_P(GrantedTurns, OfConcurrentCallersAreAllStored) {
-    play(GetParam(), 12, 4000);
+    run_callers(GetParam(), 12, 4000);
     EXPECT_EQ(not_stored, 0u) << stored << " were stored";
 }
 
 // The turns of all callers together fill the whole headroom for turns of running calls.
 TEST_P(GrantedTurns, OfManyCallersAreAllStored) {
-    play(GetParam(), 100, 4000);
+    run_callers(GetParam(), 100, 4000);
     EXPECT_EQ(not_stored, 0u) << stored << " were stored";
 }
 
 // Reservations use the mean size: larger turns must fit into the headroom for turns of running
 // calls.
 TEST_P(GrantedTurns, OfDifferentSizesAreAllStored) {
-    play(GetParam(), 30, 500, 8);
+    run_callers(GetParam(), 30, 500, 8);
     EXPECT_EQ(not_stored, 0u) << stored << " were stored";
 }
 
