--- a/src/store/store_index.c
+++ b/src/store/store_index.c
@@ -1,37 +1,33 @@
 /*
- * Design. A member that copies what it lacks asks what differs from what it holds on disk
- * (core/digest/record_digest.h): ids of turns, and charges whole. The answer comes in pages of
- * whole buckets, each asked for by itself, so that neither side holds more than a page of it in its
- * buffers: sent at once by six members that held 70,000 charges, it took 16 MB each of a member's
- * 58 MB. A bucket is of its time: what is written into it later is also written to the asker, which
- * is a member by then.
+ * Design. A member in catch-up sends a digest of the records on its disk
+ * (core/digest/record_digest.h) and receives the ids of the turns and the complete charges in the
+ * buckets that differ. The index is requested in pages of whole buckets, which bounds the buffers
+ * on both sides. Records added to a bucket after its page was sent need no second page: gateways
+ * write them to the requesting node as well, since it already is a member.
  */
 #include "store/store.h"
 
 #include "core/digest/record_digest.h"
 
-/**
- * Records of a page, but for one bucket that holds more: some 150 KB, half of a millisecond of 1
- * Gbit/s, and 45 pages for 90,000 records.
- */
-enum { INDEX_PAGE_RECORDS = 2000 };
+/** Maximum number of records in a page; a page of a single bucket may exceed it. */
+enum { INDEX_PAGE_MAX_RECORDS = 2000 };
 
-/** The answer in the making, and what decides what belongs into it. */
+/** A response under construction and the digests that select its records. */
 typedef struct {
     store_t *store;
     message_t response;
-    record_digest_t own;
-    record_digest_t theirs;
-    unsigned first; /**< Bucket. */
-    unsigned end;   /**< The bucket behind the last. */
+    record_digest_t local;
+    record_digest_t remote;
+    unsigned first; /**< First bucket of the page. */
+    unsigned end;   /**< Bucket after the last of the page. */
 } index_t;
 
 static bool turns_differ(const index_t *index, unsigned bucket) {
-    return index->own.turns[bucket] != index->theirs.turns[bucket];
+    return index->local.turns[bucket] != index->remote.turns[bucket];
 }
 
 static bool charges_differ(const index_t *index, unsigned bucket) {
-    return index->own.charges[bucket] != index->theirs.charges[bucket];
+    return index->local.charges[bucket] != index->remote.charges[bucket];
 }
 
 static unsigned differing_records(const index_t *index, unsigned bucket) {
@@ -43,14 +39,14 @@
     return records;
 }
 
-/** Sets where the page ends; returns the number of its records. */
+/** Determines the buckets of the page; returns the number of its records. Page 0: all buckets. */
 static unsigned choose_page(index_t *index, const message_t *request) {
-    bool whole = request->page == 0;
+    bool unpaged = request->page == 0;
     unsigned records = 0;
-    index->first = whole ? 0 : request->page - 1;
+    index->first = unpaged ? 0 : request->page - 1;
     for (index->end = index->first; index->end < DIGEST_BUCKETS; index->end++) {
         unsigned more = differing_records(index, index->end);
-        if (!whole && records > 0 && records + more > INDEX_PAGE_RECORDS)
+        if (!unpaged && records > 0 && records + more > INDEX_PAGE_MAX_RECORDS)
             break;
         records += more;
     }
@@ -89,8 +85,8 @@
     message_init(&index.response, RESPONSE_INDEX);
     index.response.number = request->number;
     index.response.generation = store->complete_in;
-    record_digest_compute(&index.own, &store->turns, &store->budgets);
-    record_digest_decode(&index.theirs, request->digest);
+    record_digest_compute(&index.local, &store->turns, &store->budgets);
+    record_digest_decode(&index.remote, request->digest);
     if (choose_page(&index, request) > 0)
         add_records(&index);
     frame_connection_send(connection, message_encode(&index.response));
--- a/src/store/store_membership.c
+++ b/src/store/store_membership.c
@@ -1,23 +1,22 @@
 /*
- * Design. The group stands in one key of the key-value service and changes only by a write under
- * the condition that the key has not changed. Every storage node also has a key that says where
- * it is. Three nodes propose a group:
+ * Design. The group is stored under one key of the key-value service and changes only by
+ * compare-and-swap on the revision of that key. Each storage node registers its address under a key
+ * of its own. A new group is proposed by
  *
- * - a founder, once, when the system starts for the first time, with as many of the others as a
- *   group needs (core/quorum/store_group_choice.h);
- * - a node that stands by, in place of a member that it finds gone, or to bring the group
- *   back to the size it was founded with;
- * - a member that an operator asks to be emptied: the group without it, or with a node that is
- *   no member in its place. It says "completed" once the others are complete without it; as long
- *   as they would be too few to lose a disk, it stays.
+ * - a founder, once, at the first start of the system, with as many other founders as a group needs
+ *   (core/quorum/store_group_choice.h);
+ * - a spare, to replace a failed member or to restore the target size of the group;
+ * - a member that an operator retires: the group without this member, or with a spare in its place.
+ *   It reports "completed" once all members of the new group are complete. It remains a member
+ *   while the others could not tolerate the loss of a disk.
  *
- * Nodes that stand by have ranks, and the first looks at the members all the time. The others look
- * the more seldom the higher their rank, so that many of them neither ask much nor all propose at
- * once; a lost first one is made good by the next.
+ * Spares are ranked. The first polls the members continuously; the poll interval of the others
+ * grows with their rank, which limits traffic and concurrent proposals. If the first spare fails,
+ * the next one takes its place.
  *
- * Failures. A proposal whose answer is lost shows in the watch. A member that was taken for gone
- * and comes back is no member any more and becomes a spare. While the key-value service is down
- * the group stays as it is; nothing on the path of a call needs the service.
+ * Failures. The outcome of a proposal whose response was lost is seen through the watch. A member
+ * that was replaced and recovers becomes a spare. While the key-value service is unavailable the
+ * group does not change; calls do not depend on the service.
  */
 #include "store/store.h"
 
@@ -29,15 +28,15 @@
 
 enum {
     WATCH_WAIT_MS = 25000,
-    CHECK_MS = 300,
-    FOUND_AFTER_MS = 2000, /**< After the start, so that all founders have registered. */
-    FOUND_ALONE_AFTER_MS = 5000,
-    FOUNDERS_USUAL = 3,
-    GONE_AFTER_MS = 1200, /**< A member silent for so long may be replaced. */
-    WRITE_AGAIN_MS = 1000,
-    FOUND_EACH_MS = 150,    /**< A founder proposes so much later for each one before it. */
-    STANDBY_EACH_MS = 1500, /**< Between two looks at the members, for each rank. */
-    STANDBY_MOST_MS = 9000,
+    CHECK_INTERVAL_MS = 300,
+    FOUNDING_DELAY_MS = 2000, /**< After the start; lets all founders register first. */
+    FOUNDING_ALONE_DELAY_MS = 5000,
+    FOUNDERS_EXPECTED = 3,
+    MEMBER_RESPONSE_TIMEOUT_MS = 1200, /**< A member unresponsive for longer may be replaced. */
+    WRITE_INTERVAL_MIN_MS = 1000,
+    FOUNDING_RANK_DELAY_MS = 150,    /**< Added to the delay of a founder for each rank. */
+    STANDBY_RANK_INTERVAL_MS = 1500, /**< Added to the poll interval of a spare for each rank. */
+    STANDBY_INTERVAL_MAX_MS = 9000,
 };
 
 typedef struct {
@@ -50,20 +49,20 @@
     uv_timer_t timer;
     key_value_watch_t *own_watch;
     key_value_watch_t *retire_watch;
-    bool listed;               /**< The keys have been listed at least once. */
-    uint64_t group_revision;   /**< Of the group's key; 0: there is none. */
+    bool listed;               /**< The initial listing of the keys is complete. */
+    uint64_t group_revision;   /**< Of the group's key; 0: no key. */
     GHashTable *registrations; /**< Node name to registration_t. */
     bool registered;
-    bool writing; /**< A write is on its way. */
+    bool writing; /**< A write to the key-value service is pending. */
     uint64_t written_at;
     bool retiring;
-    bool retire_running_told;   /**< The service has that this node is being emptied, */
-    bool retire_complete_told;  /**< and that it is empty. */
-    bool *telling;              /**< Which of the two is on its way; NULL: neither. */
-    GHashTable *peers;          /**< Node name to store_peer_t, while they are needed. */
-    GHashTable *retiring_nodes; /**< Names of all nodes that are to be emptied. */
-    bool looking;               /**< A node that stands by waits for what the members answer. */
-    uint64_t look_after;        /**< It looks at them again then, ms. */
+    bool retire_running_reported;  /**< The "running" status is stored in the service. */
+    bool retire_complete_reported; /**< The "completed" status is stored in the service. */
+    bool *reporting;               /**< Flag to set when the pending write succeeds; NULL: none. */
+    GHashTable *peers;             /**< Node name to store_peer_t; cleared on an active member. */
+    GHashTable *retiring_nodes;    /**< Names of all nodes that an operator retires. */
+    bool polling_members;          /**< This spare is polling the members. */
+    uint64_t next_poll_at;         /**< Earliest time of its next poll, ms. */
 };
 
 static const char group_name[] = "group";
@@ -97,11 +96,10 @@
 static void on_written(void *owner, key_value_outcome_t outcome) {
     store_membership_t *membership = owner;
     membership->writing = false;
-    /* A write that was refused, or whose answer was lost, is made again: the operator waits for it.
-     */
-    if (membership->telling != NULL && outcome == KEY_VALUE_WRITTEN)
-        *membership->telling = true;
-    membership->telling = NULL;
+    /* The status is written again unless the service has confirmed the write. */
+    if (membership->reporting != NULL && outcome == KEY_VALUE_WRITTEN)
+        *membership->reporting = true;
+    membership->reporting = NULL;
     event_log(STORE_KEY_WRITTEN, outcome == KEY_VALUE_WRITTEN    ? "written"
                                  : outcome == KEY_VALUE_CONFLICT ? "conflict"
                                                                  : "refused");
@@ -118,10 +116,9 @@
     g_bytes_unref(value);
 }
 
-/** True if another write may begin now. */
 static bool may_write(const store_membership_t *membership) {
     return membership->listed && !membership->writing &&
-           now(membership) >= membership->written_at + WRITE_AGAIN_MS;
+           now(membership) >= membership->written_at + WRITE_INTERVAL_MIN_MS;
 }
 
 static void register_node(store_membership_t *membership) {
@@ -138,7 +135,7 @@
     g_free(name);
 }
 
-/** Proposes @p group; takes it over. */
+/** Writes @p group to the key-value service; takes ownership of it. */
 static void propose(store_membership_t *membership, store_group_t *group, const char *reason) {
     event_log(STORE_GROUP_PROPOSED, group->generation, group->members->len, reason);
     write_key(membership, key_value_own_key(group_name), store_group_encode(group), false,
@@ -148,8 +145,8 @@
 
 /* Reading. */
 
-static void take_registration(store_membership_t *membership, const char *name,
-                              const key_value_item_t *item) {
+static void apply_registration(store_membership_t *membership, const char *name,
+                               const key_value_item_t *item) {
     if (item->value == NULL) {
         g_hash_table_remove(membership->registrations, name);
         return;
@@ -178,7 +175,7 @@
     if (key_value_kind(item->key, &name) != KEY_OWN)
         return;
     if (g_str_has_prefix(name, registration_prefix)) {
-        take_registration(membership, name + strlen(registration_prefix), item);
+        apply_registration(membership, name + strlen(registration_prefix), item);
         return;
     }
     if (strcmp(name, group_name) != 0 || item->value == NULL)
@@ -236,7 +233,7 @@
 static const key_value_watch_handler_t retire_handler = {on_retire_item, on_retire_listed,
                                                          on_retire_reachable};
 
-/* Peers, while a change of the group is weighed. */
+/* Connections to other storage nodes. */
 
 static store_peer_t *obtain_peer(store_membership_t *membership, const store_member_t *member) {
     store_peer_t *peer = g_hash_table_lookup(membership->peers, member->name);
@@ -255,7 +252,7 @@
     }
 }
 
-/** How many of @p members are complete in the group's generation. */
+/** Counts the nodes of @p members that are complete in the current generation. */
 static unsigned count_complete_of(store_membership_t *membership, const GArray *members) {
     const store_t *store = membership->store;
     unsigned complete = 0;
@@ -271,27 +268,26 @@
     return complete;
 }
 
-/** How many members of the group are complete in its generation. */
 static unsigned count_complete(store_membership_t *membership) {
     return count_complete_of(membership, membership->store->group->members);
 }
 
 /**
- * True if all members of the next generation can become complete in it. Those that stay and are
- * complete now are so at once; the others copy from so many of them. With fewer they would wait for
- * one another for good: one complete member of two and a node that joins kept nothing any more.
+ * True if all members of the next generation can become complete in it: enough of them are complete
+ * now to serve as sources for the others. With fewer, incomplete members would wait for one another
+ * forever.
  */
 static bool all_can_complete(store_membership_t *membership, const store_group_t *next) {
     unsigned complete = count_complete_of(membership, next->members);
     return complete >= store_group_sources_needed(next->members->len);
 }
 
-/** A member that has not answered for a while; NULL if all have. */
-static const store_member_t *find_gone_member(store_membership_t *membership) {
+/** Returns an unresponsive member; NULL if there is none. */
+static const store_member_t *find_failed_member(store_membership_t *membership) {
     const GArray *members = membership->store->group->members;
     for (guint i = 0; i < members->len; i++) {
         const store_member_t *member = &g_array_index(members, store_member_t, i);
-        if (store_peer_silence(obtain_peer(membership, member)) > GONE_AFTER_MS)
+        if (store_peer_unanswered_ms(obtain_peer(membership, member)) > MEMBER_RESPONSE_TIMEOUT_MS)
             return member;
     }
     return NULL;
@@ -307,7 +303,7 @@
     }
 }
 
-/** Registered nodes, as store_member_t; founders only, or all that are not to be emptied. */
+/** Lists the founders, or all registered nodes that are not retiring, as store_member_t. */
 static GArray *list_candidates(const store_membership_t *membership, bool founders) {
     GArray *candidates = store_members_new();
     GHashTableIter iterator;
@@ -326,13 +322,14 @@
 static void found_group(store_membership_t *membership) {
     const store_t *store = membership->store;
     uint64_t age = now(membership) - store->started_at;
-    if (!store->founding || !store->identity_durable || age < FOUND_AFTER_MS)
+    if (!store->founding || !store->identity_durable || age < FOUNDING_DELAY_MS)
         return;
     GArray *founders = list_candidates(membership, true);
     store_group_t *group = store_group_new();
     unsigned rank = store_group_standby_rank(group->members, founders, store->settings->name);
-    bool enough = founders->len >= FOUNDERS_USUAL || age >= FOUND_ALONE_AFTER_MS;
-    bool due = enough && founders->len > 0 && age >= FOUND_AFTER_MS + rank * FOUND_EACH_MS;
+    bool enough = founders->len >= FOUNDERS_EXPECTED || age >= FOUNDING_ALONE_DELAY_MS;
+    bool due =
+        enough && founders->len > 0 && age >= FOUNDING_DELAY_MS + rank * FOUNDING_RANK_DELAY_MS;
     group->generation = 1;
     store_group_fill(group->members, founders, store_group_size(store->settings->tolerated_losses));
     group->target = group->members->len;
@@ -343,7 +340,7 @@
     g_array_free(founders, TRUE);
 }
 
-/** Proposes the next group, which is taken over, unless it could not become complete yet. */
+/** Proposes @p next if all its members can become complete; takes ownership of it. */
 static void propose_change(store_membership_t *membership, store_group_t *next,
                            const char *reason) {
     if (all_can_complete(membership, next))
@@ -352,55 +349,55 @@
         store_group_free(next);
 }
 
-/** How long this node, which stands by, waits between two looks at the members. */
-static uint64_t standby_pause_ms(const store_membership_t *membership) {
+/** Time between two polls of the members by this spare. */
+static uint64_t standby_poll_interval_ms(const store_membership_t *membership) {
     const store_t *store = membership->store;
     GArray *candidates = list_candidates(membership, false);
     unsigned rank =
         store_group_standby_rank(store->group->members, candidates, store->settings->name);
     g_array_free(candidates, TRUE);
-    return MIN((uint64_t)rank * STANDBY_EACH_MS, STANDBY_MOST_MS);
+    return MIN((uint64_t)rank * STANDBY_RANK_INTERVAL_MS, STANDBY_INTERVAL_MAX_MS);
 }
 
-/** True if every member has answered what it was asked last. */
+/** True if no poll of a member is unanswered. */
 static bool all_answered(store_membership_t *membership) {
     const GArray *members = membership->store->group->members;
     for (guint i = 0; i < members->len; i++) {
         const store_member_t *member = &g_array_index(members, store_member_t, i);
-        if (store_peer_silence(obtain_peer(membership, member)) > 0)
+        if (store_peer_unanswered_ms(obtain_peer(membership, member)) > 0)
             return false;
     }
     return true;
 }
 
-/** A node that stands by looks whether the group needs it. */
+/** Joins the group as a spare if a member has failed or the group is below its target size. */
 static void join_group(store_membership_t *membership) {
     const store_t *store = membership->store;
     const GArray *members = store->group->members;
     bool full = members->len >= store->group->target;
-    if (full && now(membership) < membership->look_after)
+    if (full && now(membership) < membership->next_poll_at)
         return;
-    uint64_t pause = standby_pause_ms(membership);
-    if (full && pause > 0 && membership->looking && all_answered(membership)) {
-        membership->looking = false;
-        membership->look_after = now(membership) + pause;
+    uint64_t interval = standby_poll_interval_ms(membership);
+    if (full && interval > 0 && membership->polling_members && all_answered(membership)) {
+        membership->polling_members = false;
+        membership->next_poll_at = now(membership) + interval;
         return;
     }
-    membership->looking = true;
+    membership->polling_members = true;
     poll_members(membership, members);
     if (count_complete(membership) < store_read_quorum(members->len))
         return;
-    const store_member_t *gone = find_gone_member(membership);
-    if (gone == NULL && full)
+    const store_member_t *failed = find_failed_member(membership);
+    if (failed == NULL && full)
         return;
     store_group_t *next = store_group_next(store->group);
-    copy_members_without(next, members, gone == NULL ? NULL : gone->name);
+    copy_members_without(next, members, failed == NULL ? NULL : failed->name);
     store_group_add(next->members, store->settings->name, store->settings->peer_text,
                     store->settings->zone);
-    propose_change(membership, next, gone == NULL ? "joining" : "replacing");
+    propose_change(membership, next, failed == NULL ? "joining" : "replacing");
 }
 
-/** A registered node that answers, is no member and is not to be emptied. */
+/** Returns a responsive spare that is not retiring; NULL if there is none. */
 static const store_member_t *find_spare(store_membership_t *membership) {
     const store_t *store = membership->store;
     const store_member_t *spare = NULL;
@@ -414,7 +411,7 @@
             continue;
         store_peer_t *peer = obtain_peer(membership, member);
         store_peer_poll(peer);
-        if (peer->answered_at > 0 && store_peer_silence(peer) <= GONE_AFTER_MS)
+        if (peer->answered_at > 0 && store_peer_unanswered_ms(peer) <= MEMBER_RESPONSE_TIMEOUT_MS)
             spare = member;
     }
     return spare;
@@ -425,7 +422,7 @@
     const GArray *members = store->group->members;
     poll_members(membership, members);
     const store_member_t *spare = find_spare(membership);
-    /* The others must stand the loss of a disk right after this node is gone. */
+    /* The remaining members must tolerate the loss of a disk as soon as this node leaves. */
     guint remaining = members->len - 1 + (spare != NULL);
     if (remaining <= store->settings->tolerated_losses ||
         count_complete(membership) < store_read_quorum(members->len))
@@ -437,31 +434,31 @@
     propose_change(membership, next, "retiring");
 }
 
-static void tell_retirement(store_membership_t *membership, bool complete) {
+static void report_retirement(store_membership_t *membership, bool complete) {
     const char *name = membership->store->settings->name;
-    membership->telling =
-        complete ? &membership->retire_complete_told : &membership->retire_running_told;
+    membership->reporting =
+        complete ? &membership->retire_complete_reported : &membership->retire_running_reported;
     write_key(membership, key_value_retire_status_key(name), key_value_retire_status(complete),
               true, 0);
 }
 
-static void go_on_retiring(store_membership_t *membership) {
+static void continue_retiring(store_membership_t *membership) {
     const store_t *store = membership->store;
-    if (!membership->retire_running_told) {
-        tell_retirement(membership, false);
+    if (!membership->retire_running_reported) {
+        report_retirement(membership, false);
         return;
     }
     if (store_is_member(store)) {
         leave_group(membership);
         return;
     }
-    if (membership->retire_complete_told || !store->group_durable)
+    if (membership->retire_complete_reported || !store->group_durable)
         return;
     poll_members(membership, store->group->members);
     if (count_complete(membership) < store->group->members->len)
         return;
     event_log(STORE_RETIRED, store->group->generation);
-    tell_retirement(membership, true);
+    report_retirement(membership, true);
 }
 
 void store_membership_check(store_t *store) {
@@ -476,7 +473,7 @@
     if (store->group->generation == 0)
         found_group(membership);
     else if (membership->retiring)
-        go_on_retiring(membership);
+        continue_retiring(membership);
     else if (!store_is_member(store))
         join_group(membership);
     else
@@ -498,7 +495,7 @@
     membership->retiring_nodes = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     uv_timer_init(store->loop, &membership->timer);
     membership->timer.data = membership;
-    uv_timer_start(&membership->timer, on_timer, CHECK_MS, CHECK_MS);
+    uv_timer_start(&membership->timer, on_timer, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS);
     membership->own_watch =
         key_value_watch_open(store->loop, &settings->key_value, settings->key_value_text,
                              key_value_prefix(KEY_OWN), WATCH_WAIT_MS, &own_handler, membership);
--- a/src/store/store_peer.c
+++ b/src/store/store_peer.c
@@ -11,7 +11,7 @@
     message_clear(&request);
 }
 
-static void take_group(const store_peer_t *peer, const message_t *message) {
+static void adopt_group(const store_peer_t *peer, const message_t *message) {
     gsize length;
     const void *data = g_bytes_get_data(message->group, &length);
     store_group_t *group = store_group_decode(data, length);
@@ -31,9 +31,9 @@
         peer->unanswered_since = 0;
         peer->complete_in = message.generation;
     }
-    /* The last action: adopting a group may free this peer. */
+    /* Must come last: adopting a group may free this peer. */
     if (valid && message.type == MESSAGE_GROUP)
-        take_group(peer, &message);
+        adopt_group(peer, &message);
     else if (valid && peer->on_message != NULL)
         peer->on_message(peer->owner, &message);
     message_clear(&message);
@@ -83,6 +83,6 @@
         frame_connection_send(peer->connection, message_encode(message));
 }
 
-uint64_t store_peer_silence(const store_peer_t *peer) {
+uint64_t store_peer_unanswered_ms(const store_peer_t *peer) {
     return peer->unanswered_since == 0 ? 0 : uv_now(peer->store->loop) - peer->unanswered_since;
 }
--- a/src/store/store_peer.h
+++ b/src/store/store_peer.h
@@ -1,7 +1,7 @@
 /**
  * @file store_peer.h
- * A connection of this storage node to another one, opened again when it ends, and what the
- * other last said of itself.
+ * Connection of this storage node to another one, with the status last received from it. A lost
+ * connection is opened again by the next poll.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -14,23 +14,24 @@
     store_t *store;
     char *name;
     struct sockaddr_in address;
-    frame_connection_t *connection; /**< NULL between two tries. */
-    uint64_t unanswered_since; /**< The first poll since it last told its status, ms; 0: none. */
-    uint64_t answered_at;      /**< When it last told its status; 0: never. */
-    uint64_t complete_in;      /**< What it said then. */
-    /** A message that is not a status or a group; NULL if none is expected. */
+    frame_connection_t *connection; /**< NULL if not connected. */
+    uint64_t unanswered_since;      /**< First poll after the last status, ms; 0: none. */
+    uint64_t answered_at;           /**< When the last status was received, ms; 0: never. */
+    uint64_t complete_in;           /**< As of the last status. */
+    /** Receives all valid messages except groups. May be NULL. */
     void (*on_message)(void *owner, message_t *message);
-    /** The connection ended; requests on it are lost. May be NULL. */
+    /** The connection was closed; pending requests are lost. May be NULL. */
     void (*on_lost)(void *owner);
     void *owner;
 } store_peer_t;
 
 store_peer_t *store_peer_new(store_t *store, const char *name, const char *address);
 void store_peer_free(store_peer_t *peer);
-/** Connects if need be and asks for the peer's status. */
+/** Requests the peer's status; connects first if necessary. */
 void store_peer_poll(store_peer_t *peer);
+/** Sends @p message; does nothing if not connected. */
 void store_peer_send(store_peer_t *peer, message_t *message);
-/** How long the peer has left a poll without an answer, in ms; 0: there is none. */
-uint64_t store_peer_silence(const store_peer_t *peer);
+/** Time since the first unanswered poll, in ms; 0: no poll is unanswered. */
+uint64_t store_peer_unanswered_ms(const store_peer_t *peer);
 
 #endif
