--- a/src/store/gateway_directory.c
+++ b/src/store/gateway_directory.c
@@ -6,23 +6,22 @@
 #include <string.h>
 #include <xxhash.h>
 
-enum { SOURCES_SEED = 1, PORT_BITS = 16, FAR_SEED = 2 };
+enum { SOURCES_SEED = 1, PORT_BITS = 16, REMOTE_SEED = 2 };
 
 typedef struct {
     char *address;
     char *zone;
-    uint64_t hash;  /**< Of the address. */
-    uint64_t order; /**< Gateways come in the order of their addresses, as numbers. */
-    uint64_t told;  /**< Digest of the list it was told last; 0: none. */
+    uint64_t hash;            /**< Of the address. */
+    uint64_t order;           /**< Sort key: address and port as a number. */
+    uint64_t notified_digest; /**< Digest of the last list it was notified of; 0: none. */
 } gateway_entry_t;
 
-/** One cell of a zone, while lists are told. */
 typedef struct {
     gateway_list_t list;
     GPtrArray *entries; /**< Of gateway_entry_t. */
 } cell_t;
 
-/** A zone, while lists are told. */
+/** The gateways and cells of a zone, rebuilt for each notification. */
 typedef struct {
     GPtrArray *entries; /**< Of gateway_entry_t. */
     cell_t *cells;
@@ -59,13 +58,13 @@
     (*count)++;
 }
 
-static void drop_connection(gateway_directory_t *directory, const char *address) {
+static void remove_connection(gateway_directory_t *directory, const char *address) {
     unsigned *count = g_hash_table_lookup(directory->addresses, address);
     if (--*count == 0)
         g_hash_table_remove(directory->addresses, address);
 }
 
-static uint64_t order_of(const char *address) {
+static uint64_t address_order(const char *address) {
     struct sockaddr_in parsed;
     if (!parse_socket_address(address, &parsed))
         return 0;
@@ -80,7 +79,7 @@
     entry->address = g_strdup(address);
     entry->zone = g_strdup(zone);
     entry->hash = XXH64(address, strlen(address), 0);
-    entry->order = order_of(address);
+    entry->order = address_order(address);
     g_hash_table_insert(directory->gateways, (gpointer)serial, entry);
     add_connection(directory, address);
 }
@@ -89,7 +88,7 @@
     const gateway_entry_t *entry = g_hash_table_lookup(directory->gateways, serial);
     if (entry == NULL)
         return false;
-    drop_connection(directory, entry->address);
+    remove_connection(directory, entry->address);
     return g_hash_table_remove(directory->gateways, serial);
 }
 
@@ -104,7 +103,7 @@
     return cells;
 }
 
-/* Zones and cells, made anew whenever something is told. */
+/* Zones and cells. */
 
 static void free_zone(gpointer data) {
     zone_t *zone = data;
@@ -133,8 +132,8 @@
     return &zone->cells[entry->hash & (zone->cell_count - 1)];
 }
 
-static void make_cells(zone_t *zone, bool few) {
-    zone->cell_count = few ? 1 : gateway_directory_cells(zone->entries->len);
+static void build_cells(zone_t *zone, bool full_mesh) {
+    zone->cell_count = full_mesh ? 1 : gateway_directory_cells(zone->entries->len);
     zone->cells = g_new0(cell_t, zone->cell_count);
     for (unsigned i = 0; i < zone->cell_count; i++) {
         zone->cells[i].entries = g_ptr_array_new();
@@ -154,7 +153,7 @@
     return first->order < second->order ? -1 : first->order > second->order;
 }
 
-/** The first cell that has any gateway. */
+/** Returns the first cell that has a gateway. */
 static const cell_t *root_cell(const zone_t *zone) {
     unsigned root = 0;
     while (root + 1 < zone->cell_count && zone->cells[root].entries->len == 0)
@@ -162,7 +161,7 @@
     return &zone->cells[root];
 }
 
-static void make_list(cell_t *cell, const cell_t *root) {
+static void build_list(cell_t *cell, const cell_t *root) {
     gateway_list_t *list = &cell->list;
     for (guint i = 0; i < cell->entries->len; i++) {
         const gateway_entry_t *entry = g_ptr_array_index(cell->entries, i);
@@ -176,15 +175,15 @@
     }
 }
 
-static void make_lists(zone_t *zone) {
+static void build_lists(zone_t *zone) {
     const cell_t *root = root_cell(zone);
     g_ptr_array_sort(root->entries, compare_entries);
     for (unsigned i = 0; i < zone->cell_count; i++)
-        make_list(&zone->cells[i], root);
+        build_list(&zone->cells[i], root);
 }
 
 /** Adds the gateways of all other zones with a single cell to a zone's only list. */
-static void add_far(GHashTable *zones, const zone_t *zone) {
+static void add_remote(GHashTable *zones, const zone_t *zone) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, zones);
@@ -196,60 +195,60 @@
             const gateway_entry_t *entry = g_ptr_array_index(other->entries, i);
             gateway_list_t *list = &zone->cells[0].list;
             g_ptr_array_add(list->far, far_gateway_format(entry->zone, entry->address));
-            list->digest += XXH64(&entry->hash, sizeof entry->hash, FAR_SEED);
+            list->digest += XXH64(&entry->hash, sizeof entry->hash, REMOTE_SEED);
         }
     }
 }
 
-static void add_all_far(GHashTable *zones) {
+static void add_all_remote(GHashTable *zones) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, zones);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         const zone_t *zone = value;
         if (zone->cell_count == 1)
-            add_far(zones, zone);
+            add_remote(zones, zone);
     }
 }
 
-static GHashTable *make_zones(const gateway_directory_t *directory) {
-    bool few = gateway_directory_count(directory) <= GATEWAYS_FEW;
+static GHashTable *build_zones(const gateway_directory_t *directory) {
+    bool full_mesh = gateway_directory_count(directory) <= GATEWAYS_FEW;
     GHashTable *zones = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_zone);
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, directory->gateways);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         gateway_entry_t *entry = value;
-        g_ptr_array_add(obtain_zone(zones, few ? "" : entry->zone)->entries, entry);
+        g_ptr_array_add(obtain_zone(zones, full_mesh ? "" : entry->zone)->entries, entry);
     }
     g_hash_table_iter_init(&iterator, zones);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-        make_cells(value, few);
-        make_lists(value);
+        build_cells(value, full_mesh);
+        build_lists(value);
     }
-    if (!few && gateway_directory_count(directory) <= GATEWAYS_FAR_MOST)
-        add_all_far(zones);
+    if (!full_mesh && gateway_directory_count(directory) <= GATEWAYS_FAR_MOST)
+        add_all_remote(zones);
     return zones;
 }
 
 void gateway_directory_tell(gateway_directory_t *directory,
-                            void (*tell)(void *user, const uint64_t *serial,
-                                         const gateway_list_t *list),
+                            void (*notify)(void *user, const uint64_t *serial,
+                                           const gateway_list_t *list),
                             void *user) {
-    bool few = gateway_directory_count(directory) <= GATEWAYS_FEW;
-    GHashTable *zones = make_zones(directory);
+    bool full_mesh = gateway_directory_count(directory) <= GATEWAYS_FEW;
+    GHashTable *zones = build_zones(directory);
     GHashTableIter iterator;
     gpointer serial;
     gpointer value;
     g_hash_table_iter_init(&iterator, directory->gateways);
     while (g_hash_table_iter_next(&iterator, &serial, &value)) {
         gateway_entry_t *entry = value;
-        const zone_t *zone = g_hash_table_lookup(zones, few ? "" : entry->zone);
+        const zone_t *zone = g_hash_table_lookup(zones, full_mesh ? "" : entry->zone);
         const gateway_list_t *list = &cell_of(zone, entry)->list;
-        if (entry->told == list->digest)
+        if (entry->notified_digest == list->digest)
             continue;
-        entry->told = list->digest;
-        tell(user, serial, list);
+        entry->notified_digest = list->digest;
+        notify(user, serial, list);
     }
     g_hash_table_destroy(zones);
 }
--- a/src/store/gateway_directory.h
+++ b/src/store/gateway_directory.h
@@ -1,18 +1,17 @@
 /**
  * @file gateway_directory.h
- * The gateways that are connected to a storage node, and which of them a gateway should know, since
- * gateways tell one another their loads. Few gateways all know one another. Of many, each knows
- * those of its own zone (and up to GATEWAYS_FAR_MOST of other zones, see gateway/zone_loads.h); and
- * where a zone has many, those of its *cell*: the gateways of a zone are divided among so many
- * cells, by a hash of their address, that a cell has GATEWAYS_CELL_MOST on average at most. So
- * neither the lists nor what gateways tell one another grows with the fleet.
+ * The gateways connected to a storage node, and the peers that each gateway exchanges load reports
+ * with. Up to GATEWAYS_FEW gateways form a full mesh. Of more, each gateway knows those of its zone
+ * and, up to GATEWAYS_FAR_MOST in all, those of other zones (see gateway/zone_loads.h). The
+ * gateways of a large zone are divided into *cells* by a hash of their address, with at most
+ * GATEWAYS_CELL_MOST per cell on average, and know those of their cell. This bounds the lists and
+ * the load reports of each gateway independently of the size of the fleet.
  *
- * The first cell of a zone is its root: its gateways watch the key-value service. Those of the
- * other cells learn of the first gateways of the root cell, their *sources*, and follow them.
+ * The gateways of the first cell of a zone, its root, watch the key-value service. Those of the
+ * other cells follow the first gateways of the root cell, their *sources*.
  *
- * Each storage node works the cells out by itself from its own connections. The number of cells
- * is a power of two, so that a gateway of the root cell among many cells is one among fewer as
- * well.
+ * Each storage node computes the cells from its own connections. The number of cells is a power of
+ * two, so that a gateway of the root cell remains in it when the number of cells decreases.
  *
  * Decision code; an object belongs to one thread.
  */
@@ -24,34 +23,31 @@
 #include <stdint.h>
 
 enum {
-    GATEWAYS_FEW = 32, /**< Up to so many, all know one another. */
+    GATEWAYS_FEW = 32, /**< Largest full mesh. */
     /**
-     * Gateways of a cell on average, at most. A gateway tells each other one every 60 ms and 3 ms
-     * for each, and four times that while calm (gateway/load_report.c): in a cell of up to 81
-     * within the 1,200 ms after which nobody trusts another's watch. A hash gives a cell of a mean
-     * of 48 more than that hardly ever: 81 is 4.8 standard deviations away.
+     * Maximum mean size of a cell. The period of load reports grows with the size of the cell
+     * (gateway/load_report.c). In cells of up to 81 gateways, which hashing with a mean of 48
+     * practically never exceeds, it does not exceed the 1,200 ms after which the watch state of a
+     * peer is considered stale.
      */
     GATEWAYS_CELL_MOST = 48,
-    /**
-     * Sources told. Where the service turns a third of the machines away without a word, all of
-     * eight are among them in one of 6,600 cases; of the first three alone in one of 27.
-     */
+    /** Sources of a gateway; several, since the service may be unreachable for some of them. */
     GATEWAYS_SOURCES = 8,
-    /** Up to so many, and one cell a zone, each knows the gateways of other zones as such. */
+    /** Up to this many, gateways of zones with a single cell know those of other such zones. */
     GATEWAYS_FAR_MOST = 128,
 };
 
 typedef struct {
-    GHashTable *gateways;  /**< Serial number of the connection to its gateway. */
-    GHashTable *addresses; /**< Address of a connected gateway to how many connections it has. */
+    GHashTable *gateways;  /**< Serial number of a connection to its gateway. */
+    GHashTable *addresses; /**< Address of a gateway to its number of connections. */
 } gateway_directory_t;
 
-/** What a gateway should know; the same for all of a cell. */
+/** Peers of a gateway; the same for all gateways of a cell. */
 typedef struct {
-    GPtrArray *known;   /**< Addresses of its cell, its own included; of char *. */
+    GPtrArray *known;   /**< Addresses of its cell, including its own; of char *. */
     GPtrArray *sources; /**< Addresses to follow; empty in a root cell. */
-    GPtrArray *far;     /**< Gateways of other zones; as far_gateway.h formats them. */
-    uint64_t digest;    /**< Of both, whatever their order. */
+    GPtrArray *far;     /**< Gateways of other zones, in the format of far_gateway.h. */
+    uint64_t digest;    /**< Of all three, independent of their order. */
 } gateway_list_t;
 
 void gateway_directory_init(gateway_directory_t *directory);
@@ -60,19 +56,18 @@
 /** Adds the gateway of a connection; @p serial must outlive its entry. */
 void gateway_directory_add(gateway_directory_t *directory, const uint64_t *serial,
                            const char *address, const char *zone);
-/** False if the connection is no gateway's. */
+/** Removes the gateway of a connection; false if it has none. */
 bool gateway_directory_remove(gateway_directory_t *directory, const uint64_t *serial);
-/** True if a gateway at @p address is connected. */
 bool gateway_directory_has(const gateway_directory_t *directory, const char *address);
-/** How many cells a zone of so many gateways has. */
+/** Number of cells of a zone with @p gateways gateways. */
 unsigned gateway_directory_cells(unsigned gateways);
 /**
- * Calls @p tell for each gateway whose list differs from the one it was told last. The lists last
- * until the call is over; gateways of one cell are given the same one.
+ * Calls @p notify for each gateway whose list has changed since the last call. A list is valid
+ * until this function returns; gateways of the same cell share one list.
  */
 void gateway_directory_tell(gateway_directory_t *directory,
-                            void (*tell)(void *user, const uint64_t *serial,
-                                         const gateway_list_t *list),
+                            void (*notify)(void *user, const uint64_t *serial,
+                                           const gateway_list_t *list),
                             void *user);
 
 #endif
--- a/src/store/store_directory.c
+++ b/src/store/store_directory.c
@@ -8,40 +8,42 @@
 #include <xxhash.h>
 
 enum {
-    LOOK_MS = 150,
-    OFTEN_MS = 4000,    /**< A gateway is told at each look for so long after it was lost, */
-    SELDOM_MS = 1000,   /**< then once in so long, */
-    FORGET_MS = 120000, /**< and after this it is forgotten. */
-    CONNECT_MS = 450,   /**< A connection that is not up by then is given up. */
-    /** Lost gateways that are told at once; of more each is told the more seldom. After a loss of
-     *  power 865 connections each 450 ms, to machines that were not up yet, took the processor time
-     *  in which a storage node has to read its log. */
-    TELL_AT_ONCE = 64,
-    GATEWAYS_MAXIMUM = 10000,
+    CHECK_INTERVAL_MS = 150,
+    /** After a disconnect, a gateway is contacted at every check for this long. */
+    FREQUENT_ANNOUNCE_PERIOD_MS = 4000,
+    ANNOUNCE_INTERVAL_MS = 1000,   /**< Interval between later announcements. */
+    GATEWAY_RETENTION_MS = 120000, /**< A gateway disconnected for longer is removed. */
+    CONNECT_TIMEOUT_MS = 450,
+    /**
+     * Gateways contacted at the same time. With more of them disconnected, the interval grows, so
+     * that connection attempts do not use up the processor time needed to replay the log.
+     */
+    ANNOUNCE_CONCURRENCY = 64,
+    GATEWAYS_MAX = 10000,
     MEGABYTE = 1024 * 1024,
-    WRITE_EACH_MS = 1000, /**< The state file is written at most this often for the directory. */
+    STATE_WRITE_INTERVAL_MS = 1000, /**< Minimum interval. */
 };
 
-/** A gateway that was connected once. */
+/** A gateway that is or was connected. */
 typedef struct {
     store_directory_t *directory;
     char *address;
-    uint64_t lost_at; /**< Since when it is not connected; 0: it is. */
-    uint64_t told_at; /**< When the present or last attempt to tell it began. */
-    uint64_t hash;    /**< Of its address and this node's: draws when it is told first. */
+    uint64_t disconnected_at; /**< When its disconnect was seen; 0: connected. */
+    uint64_t announced_at;    /**< Start of the last announcement. */
+    uint64_t hash;            /**< Of its address and this node's name; adds jitter. */
     frame_connection_t *connection;
 } known_gateway_t;
 
 struct store_directory {
     store_t *store;
-    GBytes *snapshot; /**< An encoded directory_snapshot_t; NULL: none. */
+    GBytes *snapshot; /**< Encoded directory_snapshot_t; NULL: none. */
     uint64_t revision;
-    GBytes *message; /**< The snapshot as it is sent, the same bytes to all; NULL: not sent yet. */
+    GBytes *message; /**< Encoded message, shared by all connections; NULL: none. */
     directory_offer_t offer;
-    uint64_t offered_by;  /**< Serial number of the connection that offers it. */
+    uint64_t offered_by;  /**< Serial number of the connection that offered it. */
     GHashTable *gateways; /**< Address to known_gateway_t. */
     uv_timer_t timer;
-    bool changed; /**< Not in the state file yet. */
+    bool changed; /**< The state file is out of date. */
     uint64_t written_at;
 };
 
@@ -59,7 +61,7 @@
 
 static known_gateway_t *obtain_gateway(store_directory_t *directory, const char *address) {
     known_gateway_t *gateway = g_hash_table_lookup(directory->gateways, address);
-    if (gateway != NULL || g_hash_table_size(directory->gateways) >= GATEWAYS_MAXIMUM)
+    if (gateway != NULL || g_hash_table_size(directory->gateways) >= GATEWAYS_MAX)
         return gateway;
     const char *own = directory->store->settings->name;
     gateway = g_new0(known_gateway_t, 1);
@@ -77,7 +79,7 @@
         codec_text(codec, &address);
         known_gateway_t *gateway = address == NULL ? NULL : obtain_gateway(directory, address);
         if (gateway != NULL)
-            gateway->lost_at = MAX(1, now(directory));
+            gateway->disconnected_at = MAX(1, now(directory));
         g_free(address);
     }
 }
@@ -96,7 +98,7 @@
     uint32_t count = g_hash_table_size(directory->gateways);
     codec_uint64(codec, &directory->revision);
     codec_bytes(codec, &directory->snapshot);
-    codec_count(codec, &count, GATEWAYS_MAXIMUM);
+    codec_count(codec, &count, GATEWAYS_MAX);
     if (codec->decoding)
         decode_gateways(codec, directory, count);
     else
@@ -110,8 +112,8 @@
     return directory;
 }
 
-/** Asks the gateway that offers a newer directory for it, if it is time. */
-static void look_at_offer(store_directory_t *directory) {
+/** Requests a newer directory from the gateway that offered it, if a request is due. */
+static void request_offered_directory(store_directory_t *directory) {
     directory_offer_t *offer = &directory->offer;
     offer->revision = directory->revision;
     offer->bytes = directory->snapshot == NULL ? 0 : g_bytes_get_size(directory->snapshot);
@@ -133,14 +135,15 @@
 
 void store_directory_offered(store_directory_t *directory, const frame_connection_t *connection,
                              uint64_t revision) {
-    bool gone = !g_hash_table_contains(directory->store->connections, &directory->offered_by);
-    bool stuck = directory->offer.asked_at > 0 &&
-                 now(directory) >= directory->offer.asked_at + DIRECTORY_PULL_MS;
-    if (revision > directory->offer.offered || gone || stuck) {
+    bool offerer_disconnected =
+        !g_hash_table_contains(directory->store->connections, &directory->offered_by);
+    bool timed_out = directory->offer.asked_at > 0 &&
+                     now(directory) >= directory->offer.asked_at + DIRECTORY_PULL_MS;
+    if (revision > directory->offer.offered || offerer_disconnected || timed_out) {
         directory->offer.offered = revision;
         directory->offered_by = *frame_connection_serial(connection);
     }
-    look_at_offer(directory);
+    request_offered_directory(directory);
 }
 
 void store_directory_take(store_directory_t *directory, const message_t *message) {
@@ -184,9 +187,9 @@
     frame_connection_send(connection, obtain_message(directory));
 }
 
-/* Telling gateways of this node. */
+/* Announcements to gateways that are not connected. */
 
-static void end_telling(known_gateway_t *gateway) {
+static void close_announcement(known_gateway_t *gateway) {
     if (gateway->connection != NULL)
         frame_connection_close(gateway->connection);
     gateway->connection = NULL;
@@ -211,60 +214,63 @@
     gateway->connection = NULL;
 }
 
-static const frame_handler_t tell_handler = {on_open, on_frame, on_closed};
+static const frame_handler_t announce_handler = {on_open, on_frame, on_closed};
 
-static void tell_gateway(known_gateway_t *gateway) {
+static void announce_to_gateway(known_gateway_t *gateway) {
     struct sockaddr_in address;
     if (!parse_socket_address(gateway->address, &address))
         return;
-    gateway->told_at = now(gateway->directory);
-    gateway->connection =
-        frame_connection_open(gateway->directory->store->loop, &address, &tell_handler, gateway);
+    gateway->announced_at = now(gateway->directory);
+    gateway->connection = frame_connection_open(gateway->directory->store->loop, &address,
+                                                &announce_handler, gateway);
 }
 
-/** How many of the known gateways are not connected. */
-static unsigned count_lost(const store_directory_t *directory) {
-    unsigned lost = 0;
+static unsigned count_disconnected(const store_directory_t *directory) {
+    unsigned disconnected = 0;
     GHashTableIter iterator;
     gpointer gateway;
     g_hash_table_iter_init(&iterator, directory->gateways);
     while (g_hash_table_iter_next(&iterator, NULL, &gateway))
-        lost += ((const known_gateway_t *)gateway)->lost_at > 0;
-    return lost;
+        disconnected += ((const known_gateway_t *)gateway)->disconnected_at > 0;
+    return disconnected;
 }
 
-/** Time between two attempts to tell a gateway that was lost @p lost_for ago, one of @p lost. */
-static uint64_t tell_pause_ms(uint64_t lost_for, unsigned lost) {
-    uint64_t pause = lost_for < OFTEN_MS ? LOOK_MS : SELDOM_MS;
-    return pause + lost / TELL_AT_ONCE * (uint64_t)CONNECT_MS;
+/** Interval of announcements to one of @p disconnected gateways, @p disconnected_ms after it left.
+ */
+static uint64_t announce_interval_ms(uint64_t disconnected_ms, unsigned disconnected) {
+    uint64_t interval =
+        disconnected_ms < FREQUENT_ANNOUNCE_PERIOD_MS ? CHECK_INTERVAL_MS : ANNOUNCE_INTERVAL_MS;
+    return interval + disconnected / ANNOUNCE_CONCURRENCY * (uint64_t)CONNECT_TIMEOUT_MS;
 }
 
-/** Looks at one gateway, one of @p lost that are not connected; true if it is to be forgotten. */
-static bool look_at_gateway(known_gateway_t *gateway, unsigned lost) {
+/** Updates one gateway while @p disconnected are not connected; true if it is to be removed. */
+static bool check_gateway(known_gateway_t *gateway, unsigned disconnected) {
     const store_directory_t *directory = gateway->directory;
     if (gateway_directory_has(&directory->store->gateways, gateway->address)) {
-        gateway->lost_at = 0;
-        end_telling(gateway);
+        gateway->disconnected_at = 0;
+        close_announcement(gateway);
         return false;
     }
-    if (gateway->lost_at == 0) {
-        gateway->lost_at = now(directory);
-        uint64_t pause = lost / TELL_AT_ONCE * (uint64_t)CONNECT_MS;
-        gateway->told_at = pause == 0 ? gateway->told_at : gateway->lost_at - gateway->hash % pause;
+    if (gateway->disconnected_at == 0) {
+        gateway->disconnected_at = now(directory);
+        uint64_t interval = disconnected / ANNOUNCE_CONCURRENCY * (uint64_t)CONNECT_TIMEOUT_MS;
+        gateway->announced_at = interval == 0 ? gateway->announced_at
+                                              : gateway->disconnected_at - gateway->hash % interval;
     }
-    uint64_t lost_for = now(directory) - gateway->lost_at;
-    if (lost_for >= FORGET_MS)
+    uint64_t disconnected_ms = now(directory) - gateway->disconnected_at;
+    if (disconnected_ms >= GATEWAY_RETENTION_MS)
         return true;
-    if (now(directory) >= gateway->told_at + CONNECT_MS)
-        end_telling(gateway);
+    if (now(directory) >= gateway->announced_at + CONNECT_TIMEOUT_MS)
+        close_announcement(gateway);
     if (gateway->connection == NULL &&
-        now(directory) >= gateway->told_at + tell_pause_ms(lost_for, lost))
-        tell_gateway(gateway);
+        now(directory) >=
+            gateway->announced_at + announce_interval_ms(disconnected_ms, disconnected))
+        announce_to_gateway(gateway);
     return false;
 }
 
 static void write_if_changed(store_directory_t *directory) {
-    if (!directory->changed || now(directory) < directory->written_at + WRITE_EACH_MS)
+    if (!directory->changed || now(directory) < directory->written_at + STATE_WRITE_INTERVAL_MS)
         return;
     if (!store_state_settled(directory->store))
         return;
@@ -273,31 +279,31 @@
     store_write_state(directory->store);
 }
 
-static void on_look(uv_timer_t *timer) {
+static void on_timer(uv_timer_t *timer) {
     store_directory_t *directory = timer->data;
-    unsigned lost = count_lost(directory);
+    unsigned disconnected = count_disconnected(directory);
     GHashTableIter iterator;
     gpointer gateway;
     g_hash_table_iter_init(&iterator, directory->gateways);
     while (g_hash_table_iter_next(&iterator, NULL, &gateway)) {
-        if (!look_at_gateway(gateway, lost))
+        if (!check_gateway(gateway, disconnected))
             continue;
         g_hash_table_iter_remove(&iterator);
         directory->changed = true;
     }
-    look_at_offer(directory);
+    request_offered_directory(directory);
     write_if_changed(directory);
 }
 
 void store_directory_gateway_seen(store_directory_t *directory, const char *address) {
     known_gateway_t *gateway = obtain_gateway(directory, address);
     if (gateway != NULL)
-        gateway->lost_at = 0;
+        gateway->disconnected_at = 0;
 }
 
 void store_directory_start(store_directory_t *directory) {
     directory->changed = false;
     uv_timer_init(directory->store->loop, &directory->timer);
     directory->timer.data = directory;
-    uv_timer_start(&directory->timer, on_look, 0, LOOK_MS);
+    uv_timer_start(&directory->timer, on_timer, 0, CHECK_INTERVAL_MS);
 }
--- a/src/store/store_directory.h
+++ b/src/store/store_directory.h
@@ -1,12 +1,12 @@
 /**
  * @file store_directory.h
- * What a storage node keeps for gateways that start, whether the key-value service is away or not:
- * the newest directory snapshot of a gateway, and the addresses of the gateways. Both stand in the
- * state file. A gateway that is known and not connected is told of this node for a while, since it
- * may have started again and know nobody.
+ * Data that a storage node keeps so that gateways can start without the key-value service: the
+ * newest directory snapshot received from a gateway, and the addresses of gateways. Both are kept
+ * in the state file. After a gateway disconnects, the node announces itself to the gateway for a
+ * while by connecting to it, since a restarted gateway may not know any storage node.
  *
- * Failures. A snapshot is a hint about the past: a gateway uses it only until the service confirms
- * it. One that is lost with the disk is offered again.
+ * Failures. A snapshot may be stale; a gateway uses it only until the service confirms it. A
+ * snapshot that is lost with the disk is offered again by gateways.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -16,22 +16,22 @@
 #include "common/codec.h"
 #include "store/store.h"
 
-/** Encodes or decodes what stands in the state file. */
+/** Encodes or decodes the part of the state file that belongs to the directory. */
 void store_directory_codec(codec_t *codec, store_directory_t *directory);
 store_directory_t *store_directory_new(store_t *store);
 /**
- * The gateway of a connection knows the directory up to @p revision: it is asked for it if that is
- * newer, one gateway at a time (core/configuration/directory_pace.h).
+ * Handles the announcement that the gateway of @p connection holds the directory at @p revision. A
+ * newer one is requested from one gateway at a time (core/configuration/directory_pace.h).
  */
 void store_directory_offered(store_directory_t *directory, const frame_connection_t *connection,
                              uint64_t revision);
-/** Takes a gateway's snapshot if it is newer than the one known. */
+/** Stores a gateway's snapshot if it is newer than the current one. */
 void store_directory_take(store_directory_t *directory, const message_t *message);
-/** Sends the snapshot; nothing if none is known, or too much waits to be sent already. */
+/** Sends the snapshot; does nothing if there is none or too many bytes are queued already. */
 void store_directory_send(store_directory_t *directory, frame_connection_t *connection);
-/** A gateway at "IP:PORT" has connected. */
+/** Records that the gateway at @p address ("IP:PORT") has connected. */
 void store_directory_gateway_seen(store_directory_t *directory, const char *address);
-/** Begins to tell gateways that are not connected of this node. */
+/** Starts announcing this node to gateways that are not connected. */
 void store_directory_start(store_directory_t *directory);
 
 #endif
