--- a/tests/unit/catch_up_test.cc
+++ b/tests/unit/catch_up_test.cc
@@ -1,12 +1,6 @@
-// A storage node whose disk came back empty, in virtual time.
-//
-// The story: after a loss of power two of seven storage nodes had lost their disks, as tolerated,
-// and copied what they lacked from the others. With 17,000 turns that took 12 s at all the
-// processor time they had, while 6 s are what a member counts as lost after it is back; a third
-// loss in between would have been one too many. Each answer of 200 turns was followed by a look at
-// every turn that some other copy waited for: work that grows with the square of the turns.
-// Evidence: 4,555 turns after the first 5 s, 18,316 after 10 s, faster the fewer were left, at a
-// constant 29 of 30 hundredths of a core.
+// Catch-up of a storage node that restarts with an empty disk, in virtual time. Guards against
+// catch-up work that grows with the square of the number of turns: the node counts as lost until it
+// is complete, and a further loss meanwhile may exceed what the group tolerates.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,25 +13,25 @@
 namespace {
 
 constexpr unsigned stores = 4;
-constexpr uint64_t founded_ms = 4000;
-constexpr uint64_t between_ms = 2;
+constexpr uint64_t founding_ms = 4000;
+constexpr uint64_t write_interval_ms = 2;
 constexpr uint64_t down_ms = 1000;
-constexpr uint64_t catch_up_ms = 60000;
-constexpr uint64_t one_frozen_ms = 2000;
+constexpr uint64_t catch_up_timeout_ms = 60000;
+constexpr uint64_t frozen_source_limit_ms = 2000;
 
-uint64_t kept;
+uint64_t writes_acknowledged;
 
 void on_durable(void *, bool durable) {
-    kept += durable;
+    writes_acknowledged += durable;
 }
 
-const store_operation_handler_t keep_handler = {nullptr, on_durable};
+const store_operation_handler_t put_handler = {nullptr, on_durable};
 
 void put_turn(store_client_t *client, unsigned number) {
     std::string id = "turn-" + std::to_string(number);
     turn_t turn = {g_strdup(id.c_str()),     g_strdup(""), g_bytes_new("input", 5),
                    g_bytes_new("output", 6), 1000000000,   g_strdup("")};
-    store_client_put_turn(client, &turn, &keep_handler, nullptr);
+    store_client_put_turn(client, &turn, &put_handler, nullptr);
     turn_clear(&turn);
 }
 
@@ -50,9 +44,9 @@
                          nullptr);
 }
 
-struct Copying {
+struct CatchUpResult {
     uint64_t turns = 0;
-    uint64_t looks = 0;
+    uint64_t ids_examined = 0;
     bool complete = false;
 };
 
@@ -60,20 +54,19 @@
     return static_cast<world_store_t *>(g_ptr_array_index(world->stores, number));
 }
 
-/** Keeps @p turns turns and @p charges charges, and lets a storage node come back without its disk.
- */
-world_t *lose_disk(unsigned turns, unsigned charges) {
+/** Stores turns and charges, then restarts a storage node with an empty disk. */
+world_t *restart_with_empty_disk(unsigned turns, unsigned charges) {
     const world_shape_t shape = {stores, 0, 1, 1000, BREAK_NOTHING};
     world_t *world = world_new(1, &shape);
-    virtual_run(founded_ms);
+    virtual_run(founding_ms);
     auto *gateway = static_cast<world_gateway_t *>(g_ptr_array_index(world->gateways, 0));
-    kept = 0;
+    writes_acknowledged = 0;
     for (unsigned i = 0; i < std::max(turns, charges); i++) {
         if (i < turns)
             put_turn(gateway->client, i);
         if (i < charges)
             reserve(gateway->client, i);
-        virtual_run(virtual_now() + between_ms);
+        virtual_run(virtual_now() + write_interval_ms);
     }
     virtual_run(virtual_now() + down_ms);
     world_end_store(storage_node(world, 0), END_DISK_LOST);
@@ -82,54 +75,53 @@
     return world;
 }
 
-Copying copy_records(unsigned turns, unsigned charges) {
-    const world_t *world = lose_disk(turns, charges);
-    virtual_run(virtual_now() + catch_up_ms);
+CatchUpResult run_catch_up(unsigned turns, unsigned charges) {
+    const world_t *world = restart_with_empty_disk(turns, charges);
+    virtual_run(virtual_now() + catch_up_timeout_ms);
     const store_t *store = storage_node(world, 0)->store;
     return {store->turns_copied, store->copy_looks, store_complete(store)};
 }
 
 TEST(CatchUp, CopiesEachTurnOnce) {
-    Copying copying = copy_records(3000, 0);
-    ASSERT_EQ(kept, 3000u);
+    CatchUpResult copying = run_catch_up(3000, 0);
+    ASSERT_EQ(writes_acknowledged, 3000u);
     EXPECT_TRUE(copying.complete);
     EXPECT_EQ(copying.turns, 3000u);
 }
 
-// Two of the three other members are copied from, and each names all turns: that is one look a turn
-// for each, and a few more to share them.
-TEST(CatchUp, LooksAtEachTurnAFewTimes) {
-    Copying copying = copy_records(12000, 0);
-    ASSERT_EQ(kept, 12000u);
+// Two sources each list all turns. Each listed id may be examined a constant number of times.
+TEST(CatchUp, ExaminesEachTurnAFewTimes) {
+    CatchUpResult copying = run_catch_up(12000, 0);
+    ASSERT_EQ(writes_acknowledged, 12000u);
     EXPECT_TRUE(copying.complete);
-    EXPECT_LE(copying.looks, 12u * 12000u);
+    EXPECT_LE(copying.ids_examined, 12u * 12000u);
 }
 
-// Memory: a storage node of 58 MB whose disk had been lost was sent all 70,000 charges at once by
-// each of six others, ended for want of memory, and began anew.
+// Guards against sources that send all charges in one message, which exhausts the memory of the
+// receiver.
 TEST(CatchUp, RecordsComeInPieces) {
-    Copying copying = copy_records(4000, 20000);
+    CatchUpResult copying = run_catch_up(4000, 20000);
     EXPECT_TRUE(copying.complete);
     EXPECT_LE(virtual_network_largest_frame(), 128u * 1024u);
 }
 
-class CatchUpFrom : public testing::TestWithParam<unsigned> {};
+class CatchUpSource : public testing::TestWithParam<unsigned> {};
 
-// A source that freezes while it is asked for a page must not keep the others waiting: a member
-// counts as lost until it has caught up, and another loss in between may be one too many.
-TEST_P(CatchUpFrom, OthersWhileOneIsFrozen) {
-    const world_t *world = lose_disk(4000, 20000);
+// A source that freezes before it sends a page must not block the copies from the other sources.
+TEST_P(CatchUpSource, ProceedsWithOneFrozenSource) {
+    const world_t *world = restart_with_empty_disk(4000, 20000);
     const store_t *store = storage_node(world, 0)->store;
     const uint64_t started = virtual_now();
-    while (g_hash_table_size(store->budgets.programs) == 0 && virtual_now() < started + catch_up_ms)
+    while (g_hash_table_size(store->budgets.programs) == 0 &&
+           virtual_now() < started + catch_up_timeout_ms)
         virtual_run(virtual_now() + 1);
     const uint64_t copying = virtual_now();
-    storage_node(world, GetParam())->process->paused_until = copying + catch_up_ms;
-    while (!store_complete(store) && virtual_now() < copying + catch_up_ms)
+    storage_node(world, GetParam())->process->paused_until = copying + catch_up_timeout_ms;
+    while (!store_complete(store) && virtual_now() < copying + catch_up_timeout_ms)
         virtual_run(virtual_now() + 1);
-    EXPECT_LT(virtual_now() - copying, one_frozen_ms);
+    EXPECT_LT(virtual_now() - copying, frozen_source_limit_ms);
 }
 
-INSTANTIATE_TEST_SUITE_P(Each, CatchUpFrom, testing::Values(1, 2, 3));
+INSTANTIATE_TEST_SUITE_P(Each, CatchUpSource, testing::Values(1, 2, 3));
 
 } // namespace
--- a/tests/unit/gateway_directory_test.cc
+++ b/tests/unit/gateway_directory_test.cc
@@ -1,4 +1,4 @@
-// Which gateways know one another.
+// Lists of peers that storage nodes send to gateways.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,12 +14,12 @@
 
 namespace {
 
-/** What one gateway was told, and how often. */
-struct Told {
+/** The last list sent to a gateway, and the number of lists. */
+struct SentList {
     std::set<std::string> known;
     std::vector<std::string> sources;
     std::set<std::string> far;
-    unsigned times = 0;
+    unsigned count = 0;
 };
 
 class GatewayDirectory : public testing::Test {
@@ -41,169 +41,170 @@
                                   zones[i % zones.size()].c_str());
         }
     }
-    /** Tells all whose list has changed; returns how many addresses were told in all. */
-    size_t tell() {
-        addresses_told = 0;
-        gateway_directory_tell(&directory, on_told, this);
-        return addresses_told;
+    /** Sends all lists that have changed; returns the total number of addresses in them. */
+    size_t notify() {
+        addresses_sent = 0;
+        gateway_directory_tell(&directory, on_list, this);
+        return addresses_sent;
     }
-    static void on_told(void *user, const uint64_t *serial, const gateway_list_t *list) {
+    static void on_list(void *user, const uint64_t *serial, const gateway_list_t *list) {
         auto *test = static_cast<GatewayDirectory *>(user);
-        Told &told = test->told[*serial];
-        told.times++;
-        told.known.clear();
-        told.sources.clear();
-        told.far.clear();
+        SentList &sent = test->sent_lists[*serial];
+        sent.count++;
+        sent.known.clear();
+        sent.sources.clear();
+        sent.far.clear();
         for (guint i = 0; i < list->known->len; i++)
-            told.known.insert(static_cast<char *>(g_ptr_array_index(list->known, i)));
+            sent.known.insert(static_cast<char *>(g_ptr_array_index(list->known, i)));
         for (guint i = 0; i < list->sources->len; i++)
-            told.sources.emplace_back(static_cast<char *>(g_ptr_array_index(list->sources, i)));
+            sent.sources.emplace_back(static_cast<char *>(g_ptr_array_index(list->sources, i)));
         for (guint i = 0; i < list->far->len; i++)
-            told.far.insert(static_cast<char *>(g_ptr_array_index(list->far, i)));
-        test->addresses_told += list->known->len + list->sources->len;
+            sent.far.insert(static_cast<char *>(g_ptr_array_index(list->far, i)));
+        test->addresses_sent += list->known->len + list->sources->len;
     }
     gateway_directory_t directory;
     std::vector<std::unique_ptr<uint64_t>> serials;
-    std::map<uint64_t, Told> told;
-    size_t addresses_told = 0;
+    std::map<uint64_t, SentList> sent_lists;
+    size_t addresses_sent = 0;
 };
 
-TEST_F(GatewayDirectory, FewAllKnowOneAnother) {
+TEST_F(GatewayDirectory, FewGatewaysFormAFullMesh) {
     add(GATEWAYS_FEW, {"a", "b"});
-    tell();
-    for (const auto &[serial, what] : told) {
-        EXPECT_EQ(what.known.size(), size_t{GATEWAYS_FEW});
-        EXPECT_TRUE(what.sources.empty());
+    notify();
+    for (const auto &[serial, list] : sent_lists) {
+        EXPECT_EQ(list.known.size(), size_t{GATEWAYS_FEW});
+        EXPECT_TRUE(list.sources.empty());
     }
-    EXPECT_EQ(told.size(), size_t{GATEWAYS_FEW});
+    EXPECT_EQ(sent_lists.size(), size_t{GATEWAYS_FEW});
 }
 
-TEST_F(GatewayDirectory, OfManyEachKnowsThoseOfItsZone) {
+TEST_F(GatewayDirectory, GatewaysOfALargeFleetKnowTheirZone) {
     add(60, {"a", "b", "c"});
-    tell();
-    for (const auto &[serial, what] : told) {
-        EXPECT_EQ(what.known.size(), 20U);
-        EXPECT_TRUE(what.known.count(address(static_cast<unsigned>(serial))) > 0);
-        EXPECT_TRUE(what.sources.empty());
+    notify();
+    for (const auto &[serial, list] : sent_lists) {
+        EXPECT_EQ(list.known.size(), 20U);
+        EXPECT_TRUE(list.known.count(address(static_cast<unsigned>(serial))) > 0);
+        EXPECT_TRUE(list.sources.empty());
     }
 }
 
-// Engines of a zone have calls of all zones, which no gateway knew.
-TEST_F(GatewayDirectory, OfManyEachKnowsThoseOfOtherZonesAsSuch) {
+// Guards against placement that ignores calls of other zones on the engines of a zone.
+TEST_F(GatewayDirectory, GatewaysOfALargeFleetKnowRemoteZones) {
     add(60, {"a", "b", "c"});
-    tell();
-    for (const auto &[serial, what] : told) {
-        EXPECT_EQ(what.far.size(), 40U);
-        EXPECT_EQ(what.far.count("@a " + address(1)), serial % 3 == 1 ? 0U : 1U);
+    notify();
+    for (const auto &[serial, list] : sent_lists) {
+        EXPECT_EQ(list.far.size(), 40U);
+        EXPECT_EQ(list.far.count("@a " + address(1)), serial % 3 == 1 ? 0U : 1U);
     }
-    unsigned times = told[1].times;
+    unsigned count = sent_lists[1].count;
     add(1, {"c"});
-    tell();
-    EXPECT_EQ(told[1].times, times + 1) << "there is a new one in another zone";
+    notify();
+    EXPECT_EQ(sent_lists[1].count, count + 1) << "a gateway was added in another zone";
     add(GATEWAYS_FAR_MOST, {"a", "b", "c"});
-    tell();
-    for (const auto &[serial, what] : told)
-        EXPECT_TRUE(what.far.empty());
+    notify();
+    for (const auto &[serial, list] : sent_lists)
+        EXPECT_TRUE(list.far.empty());
 }
 
-TEST_F(GatewayDirectory, GatewaysOfAZoneWithCellsAreNotKnownInOtherZones) {
+TEST_F(GatewayDirectory, ZonesWithSeveralCellsAreNotListedRemotely) {
     add(GATEWAYS_CELL_MOST + 10, {"a"});
     add(20, {"b", "c"});
-    tell();
-    for (const auto &[serial, what] : told)
-        EXPECT_EQ(what.far.size(), serial <= GATEWAYS_CELL_MOST + 10 ? 0U : 10U)
-            << "who would not hear of it can't take it";
+    notify();
+    for (const auto &[serial, list] : sent_lists)
+        EXPECT_EQ(list.far.size(), serial <= GATEWAYS_CELL_MOST + 10 ? 0U : 10U)
+            << "remote peers must know each other";
 }
 
-// 145 gateways of a zone told one another so seldom that nobody trusted what another watched.
-TEST_F(GatewayDirectory, WhatAGatewayKnowsDoesNotGrowWithTheFleet) {
+// Guards against lists that grow with the fleet: load reports would become so infrequent that peers
+// consider the watch state of a gateway stale.
+TEST_F(GatewayDirectory, ListsDoNotGrowWithTheFleet) {
     for (unsigned gateways : {30U, 100U, 300U, 865U, 3300U, 6600U}) {
         gateway_directory_clear(&directory);
         gateway_directory_init(&directory);
-        told.clear();
+        sent_lists.clear();
         serials.clear();
         add(gateways, {"a", "b", "c", "d", "e", "f"});
-        tell();
-        ASSERT_EQ(told.size(), gateways);
-        for (const auto &[serial, what] : told) {
-            EXPECT_LE(what.known.size(), size_t{2 * GATEWAYS_CELL_MOST}) << gateways;
-            EXPECT_TRUE(what.known.count(address(static_cast<unsigned>(serial))) > 0);
-            EXPECT_LE(what.sources.size(), size_t{GATEWAYS_SOURCES});
+        notify();
+        ASSERT_EQ(sent_lists.size(), gateways);
+        for (const auto &[serial, list] : sent_lists) {
+            EXPECT_LE(list.known.size(), size_t{2 * GATEWAYS_CELL_MOST}) << gateways;
+            EXPECT_TRUE(list.known.count(address(static_cast<unsigned>(serial))) > 0);
+            EXPECT_LE(list.sources.size(), size_t{GATEWAYS_SOURCES});
         }
     }
 }
 
-TEST_F(GatewayDirectory, AllOfACellKnowTheSameAndTheRootHasNoSources) {
+TEST_F(GatewayDirectory, CellsShareOneListAndTheRootHasNoSources) {
     add(400, {"a"});
-    tell();
+    notify();
     unsigned roots = 0;
-    for (const auto &[serial, what] : told) {
-        for (const std::string &other : what.known)
-            EXPECT_TRUE(told.at(serial).known == what.known) << other;
-        roots += what.sources.empty();
-        for (const std::string &source : what.sources)
-            EXPECT_EQ(what.known.count(source), 0U) << "a source is of another cell";
+    for (const auto &[serial, list] : sent_lists) {
+        for (const std::string &other : list.known)
+            EXPECT_TRUE(sent_lists.at(serial).known == list.known) << other;
+        roots += list.sources.empty();
+        for (const std::string &source : list.sources)
+            EXPECT_EQ(list.known.count(source), 0U) << "sources belong to another cell";
     }
     EXPECT_GT(roots, 10U);
     EXPECT_LT(roots, 2U * GATEWAYS_CELL_MOST);
 }
 
-TEST_F(GatewayDirectory, TheSourcesAreTheFirstOfTheRootByAddress) {
+TEST_F(GatewayDirectory, SourcesAreTheFirstOfTheRootCellByAddress) {
     add(400, {"a"});
-    tell();
+    notify();
     std::vector<std::string> roots;
     for (unsigned number = 1; number <= 400; number++)
-        if (told.at(number).sources.empty())
+        if (sent_lists.at(number).sources.empty())
             roots.push_back(address(number));
     roots.resize(GATEWAYS_SOURCES);
-    for (const auto &[serial, what] : told) {
-        if (!what.sources.empty()) {
-            EXPECT_EQ(what.sources, roots);
+    for (const auto &[serial, list] : sent_lists) {
+        if (!list.sources.empty()) {
+            EXPECT_EQ(list.sources, roots);
         }
     }
 }
 
-// One more or less of a fleet of 3,300 concerns its cell only, unless it is a source.
-TEST_F(GatewayDirectory, AChangeIsToldToItsCellOnly) {
+// A removed gateway changes the lists of its own cell only, unless it is a source.
+TEST_F(GatewayDirectory, ChangesAreSentToTheCellOnly) {
     add(3300, {"a", "b", "c", "d", "e", "f"});
-    tell();
-    EXPECT_EQ(tell(), 0U) << "nothing has changed";
-    size_t most = 0;
+    notify();
+    EXPECT_EQ(notify(), 0U) << "nothing has changed";
+    size_t max_addresses = 0;
     for (unsigned i = 2000; i < 2030; i++) {
         ASSERT_TRUE(gateway_directory_remove(&directory, serials[i].get()));
-        most = std::max(most, tell());
+        max_addresses = std::max(max_addresses, notify());
     }
-    EXPECT_LE(most, size_t{4 * GATEWAYS_CELL_MOST * GATEWAYS_CELL_MOST});
+    EXPECT_LE(max_addresses, size_t{4 * GATEWAYS_CELL_MOST * GATEWAYS_CELL_MOST});
 }
 
-TEST_F(GatewayDirectory, ACellWithoutGatewaysIsNoRoot) {
+TEST_F(GatewayDirectory, EmptyCellIsNotTheRoot) {
     add(100, {"a"});
     add(0, {"a"});
-    tell();
+    notify();
     std::vector<uint64_t> roots;
-    for (const auto &[serial, what] : told)
-        if (what.sources.empty())
+    for (const auto &[serial, list] : sent_lists)
+        if (list.sources.empty())
             roots.push_back(serial);
-    ASSERT_LT(roots.size(), 50U) << "so that there are still two cells without them";
+    ASSERT_LT(roots.size(), 50U) << "two cells must remain without them";
     for (uint64_t serial : roots)
         gateway_directory_remove(&directory, serials[serial - 1].get());
     add(static_cast<unsigned>(roots.size()), {"b"});
-    tell();
-    for (const auto &[serial, what] : told)
-        for (const std::string &source : what.sources)
+    notify();
+    for (const auto &[serial, list] : sent_lists)
+        for (const std::string &source : list.sources)
             EXPECT_TRUE(gateway_directory_has(&directory, source.c_str()));
 }
 
-TEST_F(GatewayDirectory, OneThatIsGoneIsKnownNoMore) {
+TEST_F(GatewayDirectory, RemovedGatewayIsNotListed) {
     add(3, {"a"});
     EXPECT_TRUE(gateway_directory_remove(&directory, serials[0].get()));
     EXPECT_FALSE(gateway_directory_remove(&directory, serials[0].get()));
-    tell();
-    EXPECT_EQ(told.at(2).known.size(), 2U);
+    notify();
+    EXPECT_EQ(sent_lists.at(2).known.size(), 2U);
     EXPECT_EQ(gateway_directory_count(&directory), 2U);
 }
 
-TEST_F(GatewayDirectory, OneWithTwoConnectionsIsThereUntilBothEnd) {
+TEST_F(GatewayDirectory, GatewayStaysConnectedUntilItsLastConnectionEnds) {
     uint64_t first = 1;
     uint64_t second = 2;
     gateway_directory_add(&directory, &first, "10.0.0.9:1", "a");
