--- a/tests/unit/gateway_directory_test.cc
+++ b/tests/unit/gateway_directory_test.cc
@@ -112,7 +112,7 @@
     notify();
     for (const auto &[serial, list] : sent_lists)
         EXPECT_EQ(list.far.size(), serial <= GATEWAYS_CELL_MOST + 10 ? 0U : 10U)
-            << "remote peers must know each other";
+            << "gateways of different zones must know each other";
 }
 
 // Guards against lists that grow with the fleet: load reports would become so infrequent that peers
