--- a/src/core/admission/program_ledger.c
+++ b/src/core/admission/program_ledger.c
@@ -62,7 +62,7 @@
 } pending_count_t;
 
 typedef struct {
-    double owed;
+    double remaining_calls;
     double variance;
     double calls_per_ms;
 } demand_t;
@@ -243,7 +243,7 @@
     double alive = forecast.continue_probability * idle /
                    (forecast.continue_probability * idle + 1 - forecast.continue_probability);
     double mean = alive * forecast.mean;
-    demand->owed += mean;
+    demand->remaining_calls += mean;
     demand->variance += fmax(alive * forecast.mean_square - mean * mean, 0);
     demand->calls_per_ms += alive / gap_ms(ledger);
 }
@@ -263,25 +263,25 @@
 double program_ledger_remaining_calls(program_ledger_t *ledger, uint64_t now) {
     expire(ledger, now);
     ledger->demand_valid = false;
-    return compute_demand(ledger, now)->owed;
+    return compute_demand(ledger, now)->remaining_calls;
 }
 
 /** Number of calls by which the share falls short of the demand; 0: it suffices. */
 static double shortfall(const demand_t *demand, const program_share_t *share, double deviations) {
     if (demand->calls_per_ms <= 0)
         return 0;
-    double gained = share->tokens_per_ms * demand->owed / demand->calls_per_ms;
+    double gained = share->tokens_per_ms * demand->remaining_calls / demand->calls_per_ms;
     /* A larger margin could not be held by the bucket and would stay unused. */
     double margin =
         fmin(deviations * sqrt(demand->variance), MARGIN_MAX_FRACTION * share->max_tokens);
-    double needed = demand->owed + margin;
+    double needed = demand->remaining_calls + margin;
     return fmax(needed - gained - share->tokens, 0);
 }
 
 static demand_t with_one_more(const program_ledger_t *ledger, const demand_t *demand,
                               const call_forecast_t *forecast) {
     return (demand_t){
-        .owed = demand->owed + forecast->mean,
+        .remaining_calls = demand->remaining_calls + forecast->mean,
         .variance =
             demand->variance + fmax(forecast->mean_square - forecast->mean * forecast->mean, 0),
         .calls_per_ms = demand->calls_per_ms + 1 / gap_ms(ledger),
@@ -291,7 +291,7 @@
 /** Decides whether the capacity suffices for one more program. */
 static program_admission_t evaluate(program_ledger_t *ledger, call_counts_t *counts,
                                     const program_share_t *share, uint64_t now) {
-    program_admission_t admission = {.under_way = ledger->active.length};
+    program_admission_t admission = {.active_programs = ledger->active.length};
     double missing = fmax(1 - share->tokens - share->tokens_per_ms * SOON_MS, 0);
     if (call_counts_sufficient(&ledger->all)) {
         const demand_t *demand = compute_demand(ledger, now);
@@ -301,8 +301,8 @@
         if (ledger->active.length > 0)
             missing = fmax(missing, few ? shortfall(demand, share, 0)
                                         : shortfall(&more, share, MARGIN_DEVIATIONS));
-        admission.owed = demand->owed;
-        admission.expected = forecast.mean;
+        admission.remaining_calls = demand->remaining_calls;
+        admission.expected_calls = forecast.mean;
         if (missing <= 0)
             ledger->demand = more;
     }
@@ -319,7 +319,7 @@
     entry_t *entry = g_hash_table_lookup(ledger->programs, &call->program);
     bool refused = entry != NULL && entry->state == PROGRAM_REFUSED;
     bool begun = call->begun || (entry != NULL && !refused);
-    program_admission_t admission = {.admitted = true, .under_way = ledger->active.length};
+    program_admission_t admission = {.admitted = true, .active_programs = ledger->active.length};
     bool endless = entry != NULL && begun && is_endless(ledger, entry);
     if (!begun || endless)
         admission = evaluate(
--- a/src/core/admission/program_ledger.h
+++ b/src/core/admission/program_ledger.h
@@ -38,13 +38,13 @@
 } program_share_t;
 
 typedef struct {
-    bool admitted;    /**< True also for an active program. */
-    bool begun;       /**< The program was active before. */
-    bool readmitted;  /**< Admitted after an earlier refusal. */
-    uint32_t wait_ms; /**< Refused: time until a program of its kind may be admitted. */
-    double owed;      /**< Forecast calls of the active programs. */
-    double expected;  /**< Forecast calls of the new program; 0: not evaluated. */
-    unsigned under_way;
+    bool admitted;          /**< True also for an active program. */
+    bool begun;             /**< The program was active before. */
+    bool readmitted;        /**< Admitted after an earlier refusal. */
+    uint32_t wait_ms;       /**< Refused: time until a program of its kind may be admitted. */
+    double remaining_calls; /**< Forecast calls of the active programs. */
+    double expected_calls;  /**< Forecast calls of the new program; 0: not evaluated. */
+    unsigned active_programs;
 } program_admission_t;
 
 program_ledger_t *program_ledger_new(void);
--- a/src/core/budget/budget_table.c
+++ b/src/core/budget/budget_table.c
@@ -154,7 +154,7 @@
     return program == NULL ? NULL : g_hash_table_lookup(program->charges, call);
 }
 
-bool budget_table_knows(const budget_table_t *table, const char *program, const char *call) {
+bool budget_table_contains(const budget_table_t *table, const char *program, const char *call) {
     return find_charge(table, program, call) != NULL;
 }
 
@@ -162,7 +162,7 @@
     return table->charges * CHARGE_BYTES;
 }
 
-void budget_table_note_kept(budget_table_t *table, const budget_charge_t *written) {
+void budget_table_mark_durable(budget_table_t *table, const budget_charge_t *written) {
     budget_charge_t *charge = find_charge(table, written->program, written->call);
     if (charge == NULL || charge->settled != written->settled ||
         charge_amount(charge) != charge_amount(written))
--- a/src/core/budget/budget_table.h
+++ b/src/core/budget/budget_table.h
@@ -64,13 +64,13 @@
  * Records that the state @p written is on disk. A charge that is only in memory, because its write
  * is pending or has failed, is not included in digests, and budget_table_covers() is false for it.
  */
-void budget_table_note_kept(budget_table_t *table, const budget_charge_t *written);
+void budget_table_mark_durable(budget_table_t *table, const budget_charge_t *written);
 /**
  * True if merging @p charge would change nothing; in a replica's table the charge must be on disk
  * as well.
  */
 bool budget_table_covers(const budget_table_t *table, const budget_charge_t *charge);
-bool budget_table_knows(const budget_table_t *table, const char *program, const char *call);
+bool budget_table_contains(const budget_table_t *table, const char *program, const char *call);
 /** Estimated memory use of the charges. */
 uint64_t budget_table_bytes(const budget_table_t *table);
 /** Sum of the reserves and the settled charges of the program. */
--- a/src/core/configuration/watch_duty.c
+++ b/src/core/configuration/watch_duty.c
@@ -19,7 +19,7 @@
     if (report->answer_age == UINT32_MAX)
         return false;
     uint64_t bound = WATCH_WAIT_RENEWING_MS + WATCH_ANSWER_MS + 2 * renewing_period_ms;
-    return now <= report->heard_at - report->answer_age + bound;
+    return now <= report->last_received_at - report->answer_age + bound;
 }
 
 /** Sets `behind_since`: when another process first reported a change not seen here; 0: none. */
@@ -40,12 +40,12 @@
     unsigned live = 0;
     for (unsigned i = 0; i < count; i++)
         live += reports[i].before &&
-                now <= reports[i].heard_at + REPORT_INTERVAL_MAX_MS + 2 * report_period_ms;
+                now <= reports[i].last_received_at + REPORT_INTERVAL_MAX_MS + 2 * report_period_ms;
     return live;
 }
 
 static uint64_t reported_answer_at(const watch_report_t *report) {
-    return report->heard_at - report->answer_age;
+    return report->last_received_at - report->answer_age;
 }
 
 /** Summary of the healthy watches that other processes reported. */
--- a/src/core/configuration/watch_duty.h
+++ b/src/core/configuration/watch_duty.h
@@ -54,13 +54,13 @@
 
 /** Report of another process on its watch and its connections to storage nodes. */
 typedef struct {
-    bool before;         /**< Its address precedes that of this process. */
-    unsigned rank;       /**< Number of other known processes whose addresses precede its own. */
-    uint64_t heard_at;   /**< When the report was received. */
-    uint32_t answer_age; /**< Age of its watch's latest response then; UINT32_MAX: none. */
-    uint64_t changed;    /**< Latest revision at which it saw a change. */
-    bool has_stores;     /**< It is connected directly to a quorum of storage nodes. */
-    bool renews;         /**< It is renewing, so that others may follow it. */
+    bool before;   /**< Its address precedes that of this process. */
+    unsigned rank; /**< Number of other known processes whose addresses precede its own. */
+    uint64_t last_received_at; /**< When the report was received. */
+    uint32_t answer_age;       /**< Age of its watch's latest response then; UINT32_MAX: none. */
+    uint64_t changed;          /**< Latest revision at which it saw a change. */
+    bool has_stores;           /**< It is connected directly to a quorum of storage nodes. */
+    bool renews;               /**< It is renewing, so that others may follow it. */
 } watch_report_t;
 
 /** State of this process's own watch. */
--- a/src/core/isolation/zone_silence.h
+++ b/src/core/isolation/zone_isolation.h
@@ -1,5 +1,5 @@
 /**
- * @file zone_silence.h
+ * @file zone_isolation.h
  * Detects whether a gateway's zone is isolated from the other zones.
  *
  * The zone is isolated if the storage nodes of all other zones are unresponsive while at least one
@@ -17,16 +17,16 @@
  * Decision code: no I/O, clock or threads; an object belongs to one thread. Times are ms of the
  * caller's steady clock.
  */
-#ifndef RUDDERWAY_CORE_ISOLATION_ZONE_SILENCE_H
-#define RUDDERWAY_CORE_ISOLATION_ZONE_SILENCE_H
+#ifndef RUDDERWAY_CORE_ISOLATION_ZONE_ISOLATION_H
+#define RUDDERWAY_CORE_ISOLATION_ZONE_ISOLATION_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 enum {
     /** An operation that waits longer than this for a quorum starts a check. */
-    ZONE_WAIT_MS = 75,
-    ZONE_LOOK_MS = 50, /**< While isolation is suspected or established. */
+    ZONE_SUSPECT_AFTER_MS = 75,
+    ZONE_CHECK_INTERVAL_MS = 50, /**< While isolation is suspected or established. */
     ZONE_PROBE_INTERVAL_MS = 100,
     ZONE_RECONNECT_AFTER_MS = 150, /**< Probes unanswered for this long: reopen connections. */
     /**
@@ -37,41 +37,42 @@
     ZONE_RECOVERY_MS = 300,   /**< A quorum must respond this long to end the isolation. */
     ZONE_CHECK_LATE_MS = 250, /**< A check this late means that the process was paused. */
     /** An older suspicion is not reported, so that calls stop waiting for its outcome. */
-    ZONE_SUSPECT_MAX_MS = ZONE_ISOLATED_AFTER_MS + 2 * ZONE_LOOK_MS,
+    ZONE_SUSPECT_MAX_MS = ZONE_ISOLATED_AFTER_MS + 2 * ZONE_CHECK_INTERVAL_MS,
 };
 
 /** A storage node of the group, connected directly or through another gateway. */
 typedef struct {
-    bool near;         /**< In the gateway's zone. */
-    uint64_t heard_at; /**< Last response; an opened connection does not count. */
-    uint64_t asked_at; /**< Oldest unanswered probe; 0: none. */
+    bool local;                /**< In the gateway's zone. */
+    uint64_t last_received_at; /**< Last response; an opened connection does not count. */
+    uint64_t probed_at;        /**< Oldest unanswered probe; 0: none. */
 } zone_member_t;
 
 typedef struct {
-    bool cut;
+    bool isolated;
     uint64_t since;            /**< When the state last changed. */
     uint64_t recovering_since; /**< While isolated: a quorum has responded since then; 0: none. */
-    uint64_t doubt_since;      /**< Start of the suspicion; 0: none. */
-    uint64_t asked_at;         /**< Latest round of probes. */
+    uint64_t suspected_since;  /**< Start of the suspicion; 0: none. */
+    uint64_t probed_at;        /**< Latest round of probes. */
     uint64_t checked_at;
     bool reconnected; /**< During this suspicion. */
-} zone_silence_t;
+} zone_isolation_t;
 
 typedef enum {
-    ZONE_SILENCE_NOTHING,
-    ZONE_SILENCE_ASK,       /**< Probe all members. */
-    ZONE_SILENCE_RECONNECT, /**< Close unresponsive connections and probe. */
-} zone_silence_step_t;
+    ZONE_ISOLATION_NO_ACTION,
+    ZONE_ISOLATION_PROBE,     /**< Probe all members. */
+    ZONE_ISOLATION_RECONNECT, /**< Close unresponsive connections and probe. */
+} zone_isolation_step_t;
 
 /**
  * Evaluates the members and updates the isolation state. @p quorum: members that a write needs.
- * @p waiting: an operation has waited for a quorum for ZONE_WAIT_MS, no quorum is connected, or
- * another gateway has reported that it has no quorum. To be called every ZONE_LOOK_MS while
- * isolation is suspected or established.
+ * @p waiting: an operation has waited for a quorum for ZONE_SUSPECT_AFTER_MS, no quorum is
+ * connected, or another gateway has reported that it has no quorum. To be called every
+ * ZONE_CHECK_INTERVAL_MS while isolation is suspected or established.
  */
-zone_silence_step_t zone_silence_look(zone_silence_t *isolation, const zone_member_t *members,
-                                      unsigned count, unsigned quorum, bool waiting, uint64_t now);
+zone_isolation_step_t zone_isolation_check(zone_isolation_t *isolation,
+                                           const zone_member_t *members, unsigned count,
+                                           unsigned quorum, bool waiting, uint64_t now);
 /** True while isolation is suspected but not established. */
-bool zone_silence_in_doubt(const zone_silence_t *isolation, uint64_t now);
+bool zone_isolation_suspected(const zone_isolation_t *isolation, uint64_t now);
 
 #endif
--- a/src/core/quota/quota_split.c
+++ b/src/core/quota/quota_split.c
@@ -42,8 +42,8 @@
                                unsigned count, unsigned members) {
     double all = window_tokens(bounds, limit) + allowance(bounds, limit);
     double overlap = count < members ? (double)(count + 1) / count : 1;
-    double use = (double)quota_split_grant_ms(bounds) / bounds->window_ms;
-    double used_late = (double)limit->rate * quota_split_grant_ms(bounds) / MS_PER_S;
+    double use = (double)quota_split_grant_lifetime_ms(bounds) / bounds->window_ms;
+    double used_late = (double)limit->rate * quota_split_grant_lifetime_ms(bounds) / MS_PER_S;
     double rest = all / overlap - total_initial_tokens(bounds, limit) -
                   window_tokens(bounds, limit) - used_late;
     /* Half of the result raises the rate, and so the tokens used late:
@@ -66,10 +66,10 @@
     return share;
 }
 
-uint32_t quota_split_grant_ms(const quota_bounds_t *bounds) {
+uint32_t quota_split_grant_lifetime_ms(const quota_bounds_t *bounds) {
     return (uint32_t)(GRANT_LIFETIME_FRACTION * bounds->overage * bounds->window_ms);
 }
 
-uint32_t quota_split_promise_ms(const quota_share_t *share) {
+uint32_t quota_split_max_advance_ms(const quota_share_t *share) {
     return (uint32_t)fmin(fmax(ceil(1 / share->tokens_per_ms), ADVANCE_MIN_MS), ADVANCE_MAX_MS);
 }
--- a/src/core/quota/quota_split.h
+++ b/src/core/quota/quota_split.h
@@ -50,8 +50,8 @@
  * How far in advance a token may be granted. Bounded because a member that restarts loses its
  * advance grants; at least one token may be granted in advance, whatever the rate.
  */
-uint32_t quota_split_promise_ms(const quota_share_t *share);
+uint32_t quota_split_max_advance_ms(const quota_share_t *share);
 /** Lifetime of a grant, from the time of the request. */
-uint32_t quota_split_grant_ms(const quota_bounds_t *bounds);
+uint32_t quota_split_grant_lifetime_ms(const quota_bounds_t *bounds);
 
 #endif
--- a/src/core/quota/quota_table.c
+++ b/src/core/quota/quota_table.c
@@ -61,7 +61,7 @@
     quota_answer_t answer = {0};
     if (bucket != NULL)
         answer.wait_ms = time_until(bucket, &share, 1);
-    if (bucket != NULL && answer.wait_ms <= MIN(timeout_ms, quota_split_promise_ms(&share))) {
+    if (bucket != NULL && answer.wait_ms <= MIN(timeout_ms, quota_split_max_advance_ms(&share))) {
         bucket->tokens -= 1;
         answer.granted = true;
     }
--- a/src/core/retry/answer_time.c
+++ b/src/core/retry/answer_time.c
@@ -10,7 +10,7 @@
 static const double MEAN_GAIN = 0.125;
 static const double DEVIATION_GAIN = 0.25;
 
-void answer_time_note(answer_time_t *time, uint32_t ms) {
+void answer_time_record(answer_time_t *time, uint32_t ms) {
     if (time->answers == 0) {
         time->mean = ms;
         time->deviation = ms / 2.0;
--- a/src/core/retry/answer_time.h
+++ b/src/core/retry/answer_time.h
@@ -20,7 +20,7 @@
 } answer_time_t;
 
 /** Records a response time of @p ms. */
-void answer_time_note(answer_time_t *time, uint32_t ms);
+void answer_time_record(answer_time_t *time, uint32_t ms);
 /** Threshold above which a response is late; UINT32_MAX until there are enough samples. */
 uint32_t answer_time_late_ms(const answer_time_t *time);
 
--- a/src/core/retry/outage.h
+++ b/src/core/retry/outage.h
@@ -15,7 +15,7 @@
 #include <stdint.h>
 
 /** Bounds of the suggested wait, in ms. */
-enum { OUTAGE_COME_BACK_LEAST_MS = 150, OUTAGE_COME_BACK_MOST_MS = 1000 };
+enum { OUTAGE_RETRY_AFTER_MIN_MS = 150, OUTAGE_RETRY_AFTER_MAX_MS = 1000 };
 
 typedef struct {
     bool active;
@@ -23,10 +23,10 @@
 } outage_t;
 
 /** Starts the outage at @p arrived_at, the arrival of the refused call, unless it is active. */
-void outage_note(outage_t *outage, uint64_t arrived_at);
+void outage_begin(outage_t *outage, uint64_t arrived_at);
 void outage_end(outage_t *outage);
-uint32_t outage_lasted_ms(const outage_t *outage, uint64_t now);
+uint32_t outage_duration_ms(const outage_t *outage, uint64_t now);
 /** Suggested wait of a caller refused at @p now. */
-unsigned outage_come_back_ms(const outage_t *outage, uint64_t now);
+unsigned outage_retry_after_ms(const outage_t *outage, uint64_t now);
 
 #endif
--- a/src/core/retry/resend.h
+++ b/src/core/retry/resend.h
@@ -33,8 +33,8 @@
 } resend_state_t;
 
 /** After an attempt that was not executed. */
-resend_t resend_not_run(const resend_state_t *state);
+resend_t resend_after_not_run(const resend_state_t *state);
 /** After an attempt of a retryable call that may have been executed. */
-resend_t resend_unknown(const resend_state_t *state);
+resend_t resend_after_unknown(const resend_state_t *state);
 
 #endif
--- a/src/core/retry/retry_budget.c
+++ b/src/core/retry/retry_budget.c
@@ -13,7 +13,7 @@
     return (retry_budget_t){.tenths = TENTHS_INITIAL};
 }
 
-void retry_budget_first_try(retry_budget_t *budget) {
+void retry_budget_record_first_attempt(retry_budget_t *budget) {
     if (budget->tenths < TENTHS_MAX)
         budget->tenths++;
 }
--- a/src/core/retry/retry_budget.h
+++ b/src/core/retry/retry_budget.h
@@ -17,7 +17,7 @@
 /** Creates a budget with an initial allowance of retries. */
 retry_budget_t retry_budget_new(void);
 
-void retry_budget_first_try(retry_budget_t *budget);
+void retry_budget_record_first_attempt(retry_budget_t *budget);
 /** Spends one retry; false if none is left. */
 bool retry_budget_take(retry_budget_t *budget);
 /** Delay before attempt @p attempt (2, 3, ...), in milliseconds, before jitter. */
--- a/src/core/retry/silence.c
+++ b/src/core/retry/stall.c
@@ -1,4 +1,4 @@
-#include "core/retry/silence.h"
+#include "core/retry/stall.h"
 
 enum {
     SUSPECT_MIN_MS = 300,  /**< Minimum time without data before a stall is suspected. */
@@ -9,21 +9,23 @@
     BACKEND_ACTIVE_MS = 150,  /**< A back end that sent data within this time is active. */
 };
 
-static bool is_lost(const call_signs_t *call, const backend_signs_t *backend, uint64_t now) {
-    uint64_t idle_ms = now - call->heard_at;
+static bool is_lost(const call_activity_t *call, const backend_activity_t *backend, uint64_t now) {
+    uint64_t idle_ms = now - call->last_received_at;
     if (call->answered)
-        return idle_ms >= STREAM_STALLED_MS && now - backend->heard_at <= BACKEND_ACTIVE_MS;
+        return idle_ms >= STREAM_STALLED_MS && now - backend->last_received_at <= BACKEND_ACTIVE_MS;
     return idle_ms >= LOST_MIN_MS && idle_ms >= SUSPECT_FACTOR * (uint64_t)backend->answer_ms &&
            backend->answered_sent_at >= call->sent_at + OVERTAKEN_BY_MS;
 }
 
-silence_t silence_judge(const call_signs_t *call, const backend_signs_t *backend, uint64_t now) {
+stall_t stall_evaluate(const call_activity_t *call, const backend_activity_t *backend,
+                       uint64_t now) {
     if (is_lost(call, backend, now))
-        return SILENCE_LOST;
+        return STALL_CALL_LOST;
     uint64_t idle_ms =
-        now - (backend->heard_at > call->heard_at ? backend->heard_at : call->heard_at);
+        now - (backend->last_received_at > call->last_received_at ? backend->last_received_at
+                                                                  : call->last_received_at);
     uint64_t timeout_ms = SUSPECT_FACTOR * (uint64_t)backend->answer_ms;
     if (timeout_ms < SUSPECT_MIN_MS)
         timeout_ms = SUSPECT_MIN_MS;
-    return idle_ms >= timeout_ms ? SILENCE_SUSPECT : SILENCE_USUAL;
+    return idle_ms >= timeout_ms ? STALL_SUSPECTED : STALL_NONE;
 }
--- a/src/core/retry/silence.h
+++ b/src/core/retry/stall.h
@@ -1,5 +1,5 @@
 /**
- * @file silence.h
+ * @file stall.h
  * Detects calls that are stalled at a back end.
  *
  * A slow back end delays all its calls, while one that has lost a call continues to serve others.
@@ -9,32 +9,33 @@
  *
  * Decision code: no I/O, clock or threads; times are ms of the caller's steady clock.
  */
-#ifndef RUDDERWAY_CORE_RETRY_SILENCE_H
-#define RUDDERWAY_CORE_RETRY_SILENCE_H
+#ifndef RUDDERWAY_CORE_RETRY_STALL_H
+#define RUDDERWAY_CORE_RETRY_STALL_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 typedef enum {
-    SILENCE_USUAL,
-    SILENCE_SUSPECT, /**< Probe whether the back end accepts connections. */
-    SILENCE_LOST,    /**< The back end serves other calls but not this one. */
-} silence_t;
+    STALL_NONE,
+    STALL_SUSPECTED, /**< Probe whether the back end accepts connections. */
+    STALL_CALL_LOST, /**< The back end serves other calls but not this one. */
+} stall_t;
 
 /** Activity of one back end. */
 typedef struct {
-    uint64_t heard_at;         /**< Last data received, of any call. */
+    uint64_t last_received_at; /**< Last data received, of any call. */
     uint64_t answered_sent_at; /**< Send time of the most recently sent call that was answered. */
     uint32_t answer_ms;        /**< Typical time to the first byte of a response. */
-} backend_signs_t;
+} backend_activity_t;
 
 /** Activity of one call. */
 typedef struct {
     uint64_t sent_at;
-    uint64_t heard_at; /**< Last data received for this call; initially the send time. */
-    bool answered;     /**< The response has started. */
-} call_signs_t;
+    uint64_t last_received_at; /**< Last data received for this call; initially the send time. */
+    bool answered;             /**< The response has started. */
+} call_activity_t;
 
-silence_t silence_judge(const call_signs_t *call, const backend_signs_t *backend, uint64_t now);
+stall_t stall_evaluate(const call_activity_t *call, const backend_activity_t *backend,
+                       uint64_t now);
 
 #endif
--- a/src/gateway/backends.c
+++ b/src/gateway/backends.c
@@ -117,7 +117,7 @@
     event_log(BACKEND_NEW_LIFE, backend->record->instance, backend->under_way,
               backend_speed(backend));
     backend->life_at = uv_now(backend->loop);
-    backend->signs = (backend_signs_t){0};
+    backend->signs = (backend_activity_t){0};
     backend->ejection = (ejection_t){0};
     backend->told_out = false;
     backend->elsewhere = 0;
@@ -276,9 +276,9 @@
 
 bool backend_down(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
-    bool unreachable = backend->unreachable_at > backend->signs.heard_at &&
+    bool unreachable = backend->unreachable_at > backend->signs.last_received_at &&
                        now < backend->unreachable_at + UNREACHABLE_VALID_MS;
-    bool unresponsive = now > backend->signs.heard_at + UNRESPONSIVE_MS;
+    bool unresponsive = now > backend->signs.last_received_at + UNRESPONSIVE_MS;
     return unreachable || (unresponsive && is_overdue(backend, now));
 }
 
--- a/src/gateway/backends.h
+++ b/src/gateway/backends.h
@@ -15,7 +15,7 @@
 
 #include "cluster/service_directory.h"
 #include "core/routing/ejection.h"
-#include "core/retry/silence.h"
+#include "core/retry/stall.h"
 #include "core/routing/engine_choice.h"
 #include "core/routing/engine_limit.h"
 #include "core/routing/engine_usual.h"
@@ -48,7 +48,7 @@
     uint64_t life_at;        /**< When a restart was detected; 0: never. */
     struct incarnation_speed *speed; /**< See backend_paces.h; NULL: not measured. */
     GQueue unanswered; /**< Pointers to send times of requests without a response, oldest first. */
-    backend_signs_t signs;
+    backend_activity_t signs;
     http_client_t *probe; /**< See backend_probe.h; NULL: none active. */
     uint64_t probed_at;
     unsigned probe_failures;
--- a/src/gateway/call.c
+++ b/src/gateway/call.c
@@ -7,7 +7,7 @@
 #include "gateway/call.h"
 
 #include "common/event.h"
-#include "core/retry/come_back.h"
+#include "core/retry/retry_after.h"
 #include "gateway/split.h"
 
 #include <stdlib.h>
@@ -125,48 +125,48 @@
     }
 }
 
-static void describe_isolation(const call_t *call, come_back_t *refusal) {
+static void describe_isolation(const call_t *call, retry_after_t *refusal) {
     const gateway_t *gateway = call->gateway;
-    refusal->reason = COME_BACK_ISOLATED;
+    refusal->reason = RETRY_AFTER_ISOLATED;
     if (gateway->zone_cut_since == 0)
         return;
-    refusal->lasted_ms = (uint32_t)(uv_now(gateway->loop) - gateway->zone_cut_since);
-    refusal->led_ms = GATEWAY_LED_ELSEWHERE_MS;
+    refusal->duration_ms = (uint32_t)(uv_now(gateway->loop) - gateway->zone_cut_since);
+    refusal->redirect_after_ms = GATEWAY_LED_ELSEWHERE_MS;
 }
 
 /** Describes a refused call for the calculation of its retry-after time. */
-static come_back_t describe_refusal(call_t *call, call_reason_t reason) {
+static retry_after_t describe_refusal(call_t *call, call_reason_t reason) {
     gateway_t *gateway = call->gateway;
-    come_back_t refusal = {
-        .reason = COME_BACK_SOON,
+    retry_after_t refusal = {
+        .reason = RETRY_AFTER_TRANSIENT,
         .time_left_ms = field_time_left(call, FIELD_DEADLINE_MS),
         .program_left_ms = field_time_left(call, FIELD_PROGRAM_DEADLINE),
     };
     outage_t *outage = outage_for_reason(gateway, reason);
     bool engine_full = reason == CALL_BACKEND_REFUSED && call->engine_wait_ms > 0;
     if (reason == CALL_OVER_QUOTA || engine_full) {
-        refusal.reason = COME_BACK_KNOWN;
-        refusal.known_ms = engine_full ? call->engine_wait_ms : call->quota.retry_after_ms;
+        refusal.reason = RETRY_AFTER_KNOWN;
+        refusal.known_wait_ms = engine_full ? call->engine_wait_ms : call->quota.retry_after_ms;
     } else if (gateway_isolated(gateway)) {
         describe_isolation(call, &refusal);
     } else if (outage != NULL) {
-        outage_note(outage, call->arrived_at);
-        refusal.reason = COME_BACK_OUTAGE;
-        refusal.lasted_ms = outage_lasted_ms(outage, uv_now(gateway->loop));
+        outage_begin(outage, call->arrived_at);
+        refusal.reason = RETRY_AFTER_OUTAGE;
+        refusal.duration_ms = outage_duration_ms(outage, uv_now(gateway->loop));
     }
     return refusal;
 }
 
 /** Retry-after time of a call that is refused for @p reason, in ms. */
 static unsigned compute_retry_after_ms(call_t *call, call_reason_t reason) {
-    come_back_t refusal = describe_refusal(call, reason);
-    unsigned retry_after_ms = come_back_ms(&refusal);
-    if (refusal.led_ms == 0)
+    retry_after_t refusal = describe_refusal(call, reason);
+    unsigned retry_after_ms = retry_after_delay_ms(&refusal);
+    if (refusal.redirect_after_ms == 0)
         return retry_after_ms;
     call->gateway->counters.refused_zone_cut++;
     event_log(GATEWAY_COME_BACK, call->id == NULL ? "-" : call->id, reason_names[reason],
-              refusal.lasted_ms, refusal.led_ms, refusal.time_left_ms, refusal.program_left_ms,
-              retry_after_ms);
+              refusal.duration_ms, refusal.redirect_after_ms, refusal.time_left_ms,
+              refusal.program_left_ms, retry_after_ms);
     return retry_after_ms;
 }
 
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -118,11 +118,12 @@
     unsigned repeats;        /**< Resends to the same back end. */
     bool repeating;          /**< The current send is a resend to the same back end. */
     unsigned repeat_connects_failed;
-    uint64_t heard_at; /**< When bytes of the response were last received; initially `sent_at`. */
-    bool answered;     /**< A response to the current send has begun. */
-    bool misdirected;  /**< The back end's address now belongs to another instance. */
-    bool may_have_run; /**< Some back end may have run the call. */
-    GString *prompt;   /**< Prompt made of the previous turns. */
+    uint64_t last_received_at; /**< When bytes of the response were last received; initially
+                                  `sent_at`. */
+    bool answered;             /**< A response to the current send has begun. */
+    bool misdirected;          /**< The back end's address now belongs to another instance. */
+    bool may_have_run;         /**< Some back end may have run the call. */
+    GString *prompt;           /**< Prompt made of the previous turns. */
 
     /* The response. */
     unsigned status;
--- a/src/gateway/call_retry.c
+++ b/src/gateway/call_retry.c
@@ -40,7 +40,7 @@
     };
 }
 
-/* Late responses of repeatable calls. For stalled streams see core/retry/silence.h. */
+/* Late responses of repeatable calls. For stalled streams see core/retry/stall.h. */
 
 static bool is_plain_repeatable(const call_t *call) {
     return call->route->kind == CALL_REPEATABLE;
@@ -57,8 +57,8 @@
         times = g_new0(answer_time_t, 1);
         g_hash_table_insert(gateway->answer_times, g_strdup(call->route->name), times);
     }
-    answer_time_note(times, (uint32_t)(uv_now(gateway->loop) - call->sent_at));
-    retry_budget_first_try(&gateway->late_budget);
+    answer_time_record(times, (uint32_t)(uv_now(gateway->loop) - call->sent_at));
+    retry_budget_record_first_attempt(&gateway->late_budget);
 }
 
 bool call_answer_is_late(call_t *call, uint64_t now) {
@@ -69,12 +69,12 @@
     if (times == NULL || now - call->sent_at < answer_time_late_ms(times))
         return false;
     resend_state_t state = describe_sends(call);
-    return resend_unknown(&state) != RESEND_NO && retry_budget_take(&gateway->late_budget);
+    return resend_after_unknown(&state) != RESEND_NO && retry_budget_take(&gateway->late_budget);
 }
 
 bool call_may_use_other_backend(const call_t *call) {
     resend_state_t state = describe_sends(call);
-    return call_repeatable(call) && resend_not_run(&state) == RESEND_ELSEWHERE;
+    return call_repeatable(call) && resend_after_not_run(&state) == RESEND_ELSEWHERE;
 }
 
 static void send_to_other_backend(call_t *call) {
@@ -99,7 +99,7 @@
 void call_handle_unknown_outcome(call_t *call, call_reason_t reason) {
     call->may_have_run = true;
     resend_state_t state = describe_sends(call);
-    switch (call_repeatable(call) ? resend_unknown(&state) : RESEND_NO) {
+    switch (call_repeatable(call) ? resend_after_unknown(&state) : RESEND_NO) {
     case RESEND_ELSEWHERE:
         send_to_other_backend(call);
         break;
@@ -118,7 +118,7 @@
     call->backends_ended += replaced;
     call_placement_refused(call);
     resend_state_t state = describe_sends(call);
-    bool retry = resend_not_run(&state) == RESEND_ELSEWHERE;
+    bool retry = resend_after_not_run(&state) == RESEND_ELSEWHERE;
     if (retry && (call_repeatable(call) || !call->may_have_run))
         send_to_other_backend(call);
     else
--- a/src/gateway/call_send.c
+++ b/src/gateway/call_send.c
@@ -118,8 +118,8 @@
 }
 
 static void record_received(call_t *call) {
-    call->heard_at = uv_now(call->gateway->loop);
-    call->backend->signs.heard_at = call->heard_at;
+    call->last_received_at = uv_now(call->gateway->loop);
+    call->backend->signs.last_received_at = call->last_received_at;
 }
 
 static bool on_head(void *user, const http_answer_head_t *head) {
@@ -284,7 +284,7 @@
     call->not_run = false;
     call->answered = false;
     call->sent_at = uv_now(gateway->loop);
-    call->heard_at = call->sent_at;
+    call->last_received_at = call->sent_at;
     call->sends++;
     call_quota_record_send(call);
     gateway->counters.sends++;
--- a/src/gateway/directory_duty.c
+++ b/src/gateway/directory_duty.c
@@ -189,8 +189,8 @@
     gateway->others_have_stores = false;
     for (guint i = 0; i < reports->len; i++) {
         const watch_report_t *report = &g_array_index(reports, watch_report_t, i);
-        bool recent = uv_now(gateway->loop) < report->heard_at + PEER_REPORT_EXPIRY_MS;
-        bool since = report->heard_at > gateway->stores_lost_at;
+        bool recent = uv_now(gateway->loop) < report->last_received_at + PEER_REPORT_EXPIRY_MS;
+        bool since = report->last_received_at > gateway->stores_lost_at;
         if (recent && since && report->has_stores)
             gateway->others_have_stores = true;
         without += recent && !report->has_stores;
@@ -234,7 +234,7 @@
 /** True if the followed gateway is not, or is no longer, the right one to follow. */
 static bool follows_wrong_source(const gateway_t *gateway, bool rests) {
     struct sockaddr_in other;
-    uint64_t heard_at;
+    uint64_t last_received_at;
     bool below = gateway->sources->len > 0;
     /* Without the role, it may continue until a gateway of its own cell can be followed. */
     if (follows_root_cell(gateway))
@@ -242,7 +242,7 @@
     if (below && !rests)
         return true;
     return !load_sharing_may_follow(gateway->load_sharing, directory_follow_source(gateway->follow),
-                                    &heard_at);
+                                    &last_received_at);
 }
 
 /**
--- a/src/gateway/directory_follow.c
+++ b/src/gateway/directory_follow.c
@@ -26,8 +26,8 @@
     struct sockaddr_in source;
     bool current;
     uint64_t requested_view; /**< Digest of this gateway's view as sent in the request. */
-    uint64_t heard_at;
-    uint32_t answer_age; /**< As reported by the source at heard_at. */
+    uint64_t last_received_at;
+    uint32_t answer_age; /**< As reported by the source at last_received_at. */
     uint64_t refused_pause_ms;
     uint64_t refused_at;
     uint64_t pause_until;       /**< After a refusal, no source is followed before this time. */
@@ -146,7 +146,7 @@
             uv_timer_start(&follow->timer, on_timeout, VIEW_MS, 0);
         return true;
     }
-    follow->heard_at = uv_now(follow->loop);
+    follow->last_received_at = uv_now(follow->loop);
     follow->answer_age = message->answer_age;
     if (message->type == MESSAGE_DIRECTORY)
         return handle_directory(follow, message);
@@ -226,7 +226,7 @@
 uint32_t directory_follow_answer_age(const directory_follow_t *follow) {
     if (!follow->current || follow->answer_age == UINT32_MAX)
         return UINT32_MAX;
-    return (uint32_t)(uv_now(follow->loop) - follow->heard_at) + follow->answer_age;
+    return (uint32_t)(uv_now(follow->loop) - follow->last_received_at) + follow->answer_age;
 }
 
 const struct sockaddr_in *directory_follow_source(const directory_follow_t *follow) {
--- a/src/gateway/load_sharing.c
+++ b/src/gateway/load_sharing.c
@@ -33,7 +33,7 @@
 
 typedef struct {
     struct sockaddr_in address;
-    uint64_t heard_at;
+    uint64_t last_received_at;
     watch_report_t watch;
     GArray *entries; /**< Of load_entry_t. */
 } gateway_peer_t;
@@ -111,12 +111,13 @@
         backend_t *backend = backends_find_hash(sharing->backends, entry->backend);
         if (backend == NULL)
             continue;
-        if (backend->life_at > peer->heard_at)
+        if (backend->life_at > peer->last_received_at)
             continue;
         backend->elsewhere += entry->under_way;
         /* An earlier report may be about the previous incarnation. */
-        if (backend->life_at == 0 || peer->heard_at >= backend->life_at + INCARNATION_SETTLE_MS)
-            ejection_note_told(&backend->ejection, peer->heard_at + entry->out_ms, now);
+        if (backend->life_at == 0 ||
+            peer->last_received_at >= backend->life_at + INCARNATION_SETTLE_MS)
+            ejection_note_told(&backend->ejection, peer->last_received_at + entry->out_ms, now);
         g_hash_table_add(sharing->backends->told_of, backend);
     }
 }
@@ -142,7 +143,7 @@
     reset_reported(sharing->backends->told_of);
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
-        if (now <= peer->heard_at + REPORT_EXPIRY_MS)
+        if (now <= peer->last_received_at + REPORT_EXPIRY_MS)
             add_reported(sharing, peer, now);
     }
     zone_loads_add_remote(&sharing->zone_loads, sharing->backends, now);
@@ -184,15 +185,16 @@
                                (size_t)count, uv_now(sharing->loop));
         return;
     }
-    watch_report_t watch = {
-        .heard_at = uv_now(sharing->loop), .before = peer->watch.before, .rank = peer->watch.rank};
+    watch_report_t watch = {.last_received_at = uv_now(sharing->loop),
+                            .before = peer->watch.before,
+                            .rank = peer->watch.rank};
     bool had_stores = peer->watch.has_stores;
     if (load_report_decode(&watch, peer->entries, buffer->base, (size_t)count))
         peer->watch = watch;
     else
         g_array_set_size(peer->entries, 0);
     take_speeds(sharing, peer);
-    peer->heard_at = uv_now(sharing->loop);
+    peer->last_received_at = uv_now(sharing->loop);
     sharing->sums_stale = true;
     if (sharing->watches_stores && had_stores && !peer->watch.has_stores)
         check_within(sharing, CHANGE_CHECK_DELAY_MS);
@@ -262,7 +264,7 @@
     g_array_free(entries, TRUE);
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
-        if (now <= peer->heard_at + REPORT_EXPIRY_MS)
+        if (now <= peer->last_received_at + REPORT_EXPIRY_MS)
             zone_loads_add_local(&sharing->zone_loads, sharing->backends, peer->entries);
     }
     zone_loads_send(&sharing->zone_loads, &sharing->socket);
@@ -301,7 +303,7 @@
     GArray *reports = g_array_new(FALSE, FALSE, sizeof(watch_report_t));
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
-        if (peer->watch.heard_at > 0)
+        if (peer->watch.last_received_at > 0)
             g_array_append_val(reports, peer->watch);
     }
     uint64_t next_ms = sharing->handler->on_reports(sharing->owner, reports, period_ms(sharing),
@@ -353,7 +355,7 @@
     unsigned found = 0;
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
-        bool recent = now < peer->heard_at + RELAY_REPORT_EXPIRY_MS;
+        bool recent = now < peer->last_received_at + RELAY_REPORT_EXPIRY_MS;
         if (!recent || !peer->watch.has_stores)
             continue;
         /* Each candidate has the same probability. */
@@ -367,7 +369,8 @@
 /** True if others may follow this peer's view of the key-value service. */
 static bool may_be_followed(const load_sharing_t *sharing, const gateway_peer_t *peer) {
     uint64_t now = uv_now(sharing->loop);
-    bool recent = now < peer->heard_at + IDLE_REFRESH_MS + SOURCE_PERIODS * period_ms(sharing);
+    bool recent =
+        now < peer->last_received_at + IDLE_REFRESH_MS + SOURCE_PERIODS * period_ms(sharing);
     bool watch_works =
         sharing->below || watch_duty_in_order(&peer->watch, renewing_period_ms(sharing), now);
     return recent && peer->watch.renews && watch_works;
@@ -411,9 +414,9 @@
 }
 
 bool load_sharing_may_follow(const load_sharing_t *sharing, const struct sockaddr_in *address,
-                             uint64_t *heard_at) {
+                             uint64_t *last_received_at) {
     const gateway_peer_t *peer = find_peer(sharing, address);
-    *heard_at = peer == NULL ? 0 : peer->heard_at;
+    *last_received_at = peer == NULL ? 0 : peer->last_received_at;
     return peer != NULL && may_be_followed(sharing, peer);
 }
 
@@ -479,7 +482,7 @@
             gateway_peer_t *before = g_ptr_array_index(old, j);
             if (!same_address(&before->address, &address))
                 continue;
-            peer->heard_at = before->heard_at;
+            peer->last_received_at = before->last_received_at;
             peer->watch = before->watch;
             g_array_append_vals(peer->entries, before->entries->data, before->entries->len);
         }
--- a/src/gateway/load_sharing.h
+++ b/src/gateway/load_sharing.h
@@ -56,7 +56,7 @@
 uint64_t load_sharing_latest_change(const load_sharing_t *sharing);
 /** True if the gateway at @p address may still be followed; sets the time of its last report. */
 bool load_sharing_may_follow(const load_sharing_t *sharing, const struct sockaddr_in *address,
-                             uint64_t *heard_at);
+                             uint64_t *last_received_at);
 /** Sends this gateway's report now; for urgent changes. */
 void load_sharing_tell_now(load_sharing_t *sharing);
 /** Checks in the next loop iteration whether a report is due. */
--- a/src/gateway/quota_client.c
+++ b/src/gateway/quota_client.c
@@ -12,7 +12,7 @@
     TOKEN_WAIT_MS = 100,         /**< Longest wait of a call for a promised token. */
     /**
      * Longest wait for a promised token if the program has started, since a refusal would waste its
-     * work. Members may promise less far ahead, see quota_split_promise_ms.
+     * work. Members may promise less far ahead, see quota_split_max_advance_ms.
      */
     STARTED_TOKEN_WAIT_MS = 1000,
     TOKEN_WAIT_DIVISOR = 4, /**< Of a program's call: longest wait is remaining time / this. */
@@ -410,8 +410,8 @@
     if (handle_home_response(request, member, message))
         return;
     if (allowance && message->verdict == VERDICT_YES) {
-        uint64_t until =
-            request->requested_at + message->wait_ms + quota_split_grant_ms(&client->bounds);
+        uint64_t until = request->requested_at + message->wait_ms +
+                         quota_split_grant_lifetime_ms(&client->bounds);
         if (message->wait_ms > 0) {
             request->promised_until = until;
             uv_timer_start(&request->timer, on_timer, message->wait_ms, 0);
--- a/src/gateway/silence_watch.c
+++ b/src/gateway/silence_watch.c
@@ -11,22 +11,22 @@
         call_lost_at_backend(call, "late");
         return;
     }
-    call_signs_t call_state = {
+    call_activity_t call_state = {
         .sent_at = call->sent_at,
-        .heard_at = call->heard_at,
+        .last_received_at = call->last_received_at,
         .answered = call->answered,
     };
-    switch (silence_judge(&call_state, &backend->signs, now)) {
-    case SILENCE_LOST:
+    switch (stall_evaluate(&call_state, &backend->signs, now)) {
+    case STALL_CALL_LOST:
         call_lost_at_backend(call, "overtaken");
         break;
-    case SILENCE_SUSPECT:
-        if (backend_unreachable_since(backend, call->heard_at))
+    case STALL_SUSPECTED:
+        if (backend_unreachable_since(backend, call->last_received_at))
             call_backend_unreachable(call);
         else
             backend_probe(backend);
         break;
-    case SILENCE_USUAL:
+    case STALL_NONE:
         break;
     }
 }
--- a/src/gateway/silence_watch.h
+++ b/src/gateway/silence_watch.h
@@ -1,7 +1,7 @@
 /**
  * @file silence_watch.h
  * Periodically checks the calls that wait for bytes from a back end, and takes those that stall
- * away from it; see core/retry/silence.h. Only repeatable calls are watched: others can't be
+ * away from it; see core/retry/stall.h. Only repeatable calls are watched: others can't be
  * resent.
  *
  * Thread safety: everything here belongs to the loop's thread.
--- a/src/gateway/store_client.c
+++ b/src/gateway/store_client.c
@@ -90,7 +90,7 @@
     member_t *member = g_new0(member_t, 1);
     member->client = client;
     member->backlog = g_ptr_array_new_with_free_func((GDestroyNotify)g_bytes_unref);
-    member->observation.near = strcmp(record->zone, client->zone) == 0;
+    member->observation.local = strcmp(record->zone, client->zone) == 0;
     member->link = store_link_new(client->loop, record->name, record->zone, record->address,
                                   &link_handler, member);
     return member;
@@ -125,11 +125,11 @@
 }
 
 bool store_client_connected(const store_client_t *client) {
-    return has_quorum(client, false) && !client->unresponsive && !client->isolation.cut;
+    return has_quorum(client, false) && !client->unresponsive && !client->isolation.isolated;
 }
 
 bool store_client_connected_directly(const store_client_t *client) {
-    return has_quorum(client, true) && !client->unresponsive && !client->isolation.cut;
+    return has_quorum(client, true) && !client->unresponsive && !client->isolation.isolated;
 }
 
 bool store_client_reaches(const store_client_t *client, const char *name,
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -80,7 +80,7 @@
 bool store_client_connected_directly(const store_client_t *client);
 
 /**
- * Enables detection of an isolated zone (core/isolation/zone_silence.h). A member then counts as
+ * Enables detection of an isolated zone (core/isolation/zone_isolation.h). A member then counts as
  * connected only after its first message, and operations without a verdict end as unsure when the
  * zone becomes isolated.
  */
--- a/src/gateway/store_client_state.h
+++ b/src/gateway/store_client_state.h
@@ -9,7 +9,7 @@
 #define RUDDERWAY_GATEWAY_STORE_CLIENT_STATE_H
 
 #include "core/budget/budget_decision.h"
-#include "core/isolation/zone_silence.h"
+#include "core/isolation/zone_isolation.h"
 #include "gateway/store_client.h"
 #include "gateway/store_link.h"
 
@@ -36,7 +36,7 @@
     bool unresponsive;            /**< No quorum of the connected members responds. */
     unsigned unresponsive_checks; /**< Failed checks in a row. */
     bool isolation_enabled;       /**< See store_client_watch_zone. */
-    zone_silence_t isolation;
+    zone_isolation_t isolation;
     uint64_t suspected_at; /**< When another gateway reported a lost quorum; 0: not suspected. */
     uv_timer_t check_timer;
     bool check_scheduled; /**< check_timer is active. */
--- a/src/gateway/store_link.c
+++ b/src/gateway/store_link.c
@@ -31,7 +31,7 @@
     if (link->relayed)
         request_relay(link, connection);
     link->open = true;
-    link->heard_at = uv_now(link->loop);
+    link->last_received_at = uv_now(link->loop);
     event_log(GATEWAY_STORE_CONNECTED, link->name, link->relayed ? "gateway" : "direct");
     link->handler->on_open(link->owner, link);
 }
@@ -41,7 +41,7 @@
     store_link_t *link = owner;
     if (connection != link->connection)
         return;
-    link->heard_at = uv_now(link->loop);
+    link->last_received_at = uv_now(link->loop);
     link->has_received = true;
     link->failures = 0;
     link->handler->on_frame(link->owner, link, data, length);
--- a/src/gateway/store_link.h
+++ b/src/gateway/store_link.h
@@ -36,8 +36,8 @@
     frame_connection_t *direct; /**< Direct attempt beside a relayed connection. */
     uint64_t connecting_since;
     uint64_t direct_since;
-    uint64_t heard_at; /**< Time of the last frame, or of opening. */
-    bool has_received; /**< A frame has arrived since the link was last lost. */
+    uint64_t last_received_at; /**< Time of the last frame, or of opening. */
+    bool has_received;         /**< A frame has arrived since the link was last lost. */
     bool open;
     bool relayed;      /**< The connection goes through another gateway. */
     unsigned failures; /**< Consecutive connections that were lost or timed out. */
--- a/src/gateway/store_silence.c
+++ b/src/gateway/store_silence.c
@@ -3,7 +3,7 @@
  * so two checks use the time of the last message instead. The first runs in every deployment: while
  * an operation waits without responses from a quorum, members that do not respond are reconnected
  * by another path. The second, if enabled, determines whether the whole zone is isolated
- * (core/isolation/zone_silence.h); it decides sooner and holds its result longer. An idle gateway
+ * (core/isolation/zone_isolation.h); it decides sooner and holds its result longer. An idle gateway
  * sends no probes.
  */
 #include "gateway/store_client_state.h"
@@ -30,7 +30,8 @@
     unsigned responsive = 0;
     for (guint i = 0; i < client->members->len; i++) {
         const member_t *member = member_at(client, i);
-        responsive += store_health_is_connected(client, member) && member->link->heard_at >= since;
+        responsive +=
+            store_health_is_connected(client, member) && member->link->last_received_at >= since;
     }
     return responsive;
 }
@@ -50,7 +51,7 @@
 static void reconnect_unresponsive_links(const store_client_t *client, uint64_t since) {
     for (guint i = 0; i < client->members->len; i++) {
         const member_t *member = member_at(client, i);
-        if (member->link->open && member->link->heard_at < since)
+        if (member->link->open && member->link->last_received_at < since)
             store_link_reconnect(member->link);
     }
 }
@@ -118,7 +119,7 @@
         return false;
     unsigned responsive = 0;
     for (guint i = 0; i < client->members->len; i++)
-        responsive += member_at(client, i)->observation.heard_at > client->suspected_at;
+        responsive += member_at(client, i)->observation.last_received_at > client->suspected_at;
     if (responsive >= store_write_quorum(client->members->len) ||
         now >= client->suspected_at + SUSPICION_TIMEOUT_MS)
         client->suspected_at = 0;
@@ -128,7 +129,7 @@
 static void probe_members(const store_client_t *client, uint64_t now) {
     for (guint i = 0; i < client->members->len; i++) {
         zone_member_t *observation = &member_at(client, i)->observation;
-        observation->asked_at = observation->asked_at == 0 ? now : observation->asked_at;
+        observation->probed_at = observation->probed_at == 0 ? now : observation->probed_at;
     }
     request_status(client);
 }
@@ -138,15 +139,15 @@
     unsigned unanswered = 0;
     for (guint i = 0; i < client->members->len; i++) {
         const zone_member_t *observation = &member_at(client, i)->observation;
-        local += observation->near;
-        unanswered += observation->asked_at > 0;
+        local += observation->local;
+        unanswered += observation->probed_at > 0;
     }
     event_log(GATEWAY_ZONE_CUT, isolated ? "yes" : "no", client->members->len, local, unanswered,
               g_hash_table_size(client->operations), duration_ms);
 }
 
 static void on_isolation_changed(store_client_t *client, uint64_t since) {
-    bool isolated = client->isolation.cut;
+    bool isolated = client->isolation.isolated;
     log_isolation(client, isolated, client->isolation.since - since);
     if (client->handler->on_zone_isolation != NULL)
         client->handler->on_zone_isolation(client->owner, isolated);
@@ -161,16 +162,16 @@
     for (unsigned i = 0; i < count; i++)
         members[i] = member_at(client, i)->observation;
     bool waiting = isolation_suspected(client, now) || !quorum_is_connected(client) ||
-                   has_waiting_operation(client, ZONE_WAIT_MS);
-    zone_silence_t before = client->isolation;
-    zone_silence_step_t step = zone_silence_look(&client->isolation, members, count,
-                                                 store_write_quorum(count), waiting, now);
+                   has_waiting_operation(client, ZONE_SUSPECT_AFTER_MS);
+    zone_isolation_t before = client->isolation;
+    zone_isolation_step_t step = zone_isolation_check(&client->isolation, members, count,
+                                                      store_write_quorum(count), waiting, now);
     g_free(members);
-    if (client->isolation.cut != before.cut)
-        on_isolation_changed(client, before.cut ? before.since : before.doubt_since);
-    if (step == ZONE_SILENCE_RECONNECT)
-        reconnect_unresponsive_links(client, client->isolation.doubt_since);
-    if (step != ZONE_SILENCE_NOTHING)
+    if (client->isolation.isolated != before.isolated)
+        on_isolation_changed(client, before.isolated ? before.since : before.suspected_since);
+    if (step == ZONE_ISOLATION_RECONNECT)
+        reconnect_unresponsive_links(client, client->isolation.suspected_since);
+    if (step != ZONE_ISOLATION_NO_ACTION)
         probe_members(client, now);
 }
 
@@ -185,11 +186,11 @@
 
 /** Continues checking while the zone is isolated or suspected, or an operation is pending. */
 static void reschedule_check(store_client_t *client) {
-    const zone_silence_t *zone = &client->isolation;
-    if (zone->cut || zone->doubt_since > 0 || client->suspected_at > 0)
-        schedule_check(client, ZONE_LOOK_MS);
+    const zone_isolation_t *zone = &client->isolation;
+    if (zone->isolated || zone->suspected_since > 0 || client->suspected_at > 0)
+        schedule_check(client, ZONE_CHECK_INTERVAL_MS);
     else if (g_hash_table_size(client->operations) > 0)
-        schedule_check(client, ZONE_WAIT_MS);
+        schedule_check(client, ZONE_SUSPECT_AFTER_MS);
 }
 
 static void on_check_timer(uv_timer_t *timer) {
@@ -231,8 +232,8 @@
     case RESPONSE_STATUS:
     case RESPONSE_OLD_GENERATION:
     case RESPONSE_ALLOWANCE:
-        member->observation.heard_at = uv_now(member->client->loop);
-        member->observation.asked_at = 0;
+        member->observation.last_received_at = uv_now(member->client->loop);
+        member->observation.probed_at = 0;
         break;
     default: /* Unsolicited messages do not prove that requests arrive. */
         break;
@@ -241,7 +242,7 @@
 
 void store_health_on_operation_start(store_client_t *client) {
     if (client->isolation_enabled)
-        schedule_check(client, ZONE_WAIT_MS);
+        schedule_check(client, ZONE_SUSPECT_AFTER_MS);
 }
 
 void store_client_watch_zone(store_client_t *client) {
@@ -249,17 +250,17 @@
 }
 
 bool store_client_zone_cut(const store_client_t *client) {
-    return client->isolation.cut;
+    return client->isolation.isolated;
 }
 
 bool store_client_in_doubt(store_client_t *client) {
     check_isolation_now(client);
     return client->isolation_enabled &&
-           zone_silence_in_doubt(&client->isolation, uv_now(client->loop));
+           zone_isolation_suspected(&client->isolation, uv_now(client->loop));
 }
 
 void store_client_doubt(store_client_t *client) {
-    if (!client->isolation_enabled || client->isolation.cut)
+    if (!client->isolation_enabled || client->isolation.isolated)
         return;
     client->suspected_at = uv_now(client->loop);
     check_isolation_now(client);
--- a/src/gateway/zone_loads.c
+++ b/src/gateway/zone_loads.c
@@ -12,8 +12,8 @@
 typedef struct {
     struct sockaddr_in address;
     char *zone;
-    uint64_t heard_at; /**< 0: never. */
-    GArray *entries;   /**< Of load_entry_t: the sums of its zone. */
+    uint64_t last_received_at; /**< 0: never. */
+    GArray *entries;           /**< Of load_entry_t: the sums of its zone. */
 } remote_gateway_t;
 
 static void free_gateway(gpointer data) {
@@ -88,7 +88,7 @@
     gateway->zone = g_strdup(listed->zone);
     gateway->entries = g_array_new(FALSE, TRUE, sizeof(load_entry_t));
     if (previous != NULL) {
-        gateway->heard_at = previous->heard_at;
+        gateway->last_received_at = previous->last_received_at;
         g_array_append_vals(gateway->entries, previous->entries->data, previous->entries->len);
     }
     g_ptr_array_add(loads->gateways, gateway);
@@ -118,7 +118,7 @@
         return false;
     if (!load_report_decode(&watch, gateway->entries, data, length))
         g_array_set_size(gateway->entries, 0);
-    gateway->heard_at = now;
+    gateway->last_received_at = now;
     return true;
 }
 
@@ -127,8 +127,8 @@
     const remote_gateway_t *gateway = g_ptr_array_index(loads->gateways, index);
     for (guint i = 0; i < loads->gateways->len; i++) {
         const remote_gateway_t *other = g_ptr_array_index(loads->gateways, i);
-        bool later = other->heard_at > gateway->heard_at ||
-                     (other->heard_at == gateway->heard_at && i < index);
+        bool later = other->last_received_at > gateway->last_received_at ||
+                     (other->last_received_at == gateway->last_received_at && i < index);
         if (later && strcmp(other->zone, gateway->zone) == 0)
             return false;
     }
@@ -138,13 +138,13 @@
 void zone_loads_add_remote(const zone_loads_t *loads, backends_t *backends, uint64_t now) {
     for (guint i = 0; i < loads->gateways->len; i++) {
         const remote_gateway_t *gateway = g_ptr_array_index(loads->gateways, i);
-        if (gateway->heard_at == 0 || now > gateway->heard_at + REPORT_EXPIRY_MS ||
+        if (gateway->last_received_at == 0 || now > gateway->last_received_at + REPORT_EXPIRY_MS ||
             !is_latest(loads, i))
             continue;
         for (guint j = 0; j < gateway->entries->len; j++) {
             const load_entry_t *entry = &g_array_index(gateway->entries, load_entry_t, j);
             backend_t *backend = backends_find_hash(backends, entry->backend);
-            if (backend == NULL || backend->life_at > gateway->heard_at)
+            if (backend == NULL || backend->life_at > gateway->last_received_at)
                 continue;
             backend->elsewhere += entry->under_way;
             g_hash_table_add(backends->told_of, backend);
--- a/src/node/calls.c
+++ b/src/node/calls.c
@@ -204,7 +204,7 @@
     if (error == RUDDERWAY_ERROR_NONE)
         error = program_store_check(group_store(group), intent);
     if (error == RUDDERWAY_ERROR_NONE) {
-        retry_budget_first_try(&node->calls->retry_budget);
+        retry_budget_record_first_attempt(&node->calls->retry_budget);
         runs_expect(node, intent);
         partitions_propose(node, group, intent, on_intent_applied, request_context_new(operation));
         return;
--- a/src/node/services.c
+++ b/src/node/services.c
@@ -144,7 +144,7 @@
     node_t *node = context;
     plain_request_t *plain = data;
     plain->deadline_ms = node->now_ms + (int64_t)node->settings->call_timeout_seconds * 1000;
-    retry_budget_first_try(&node->services->retry_budget);
+    retry_budget_record_first_attempt(&node->services->retry_budget);
     if (services_count(node) > node->settings->calls_in_flight)
         refuse(node, plain, RUDDERWAY_ERROR_OVERLOADED);
     else
--- a/src/store/store_replay.c
+++ b/src/store/store_replay.c
@@ -14,7 +14,7 @@
 static void replay_charge(store_t *store, uint32_t segment, const budget_charge_t *charge) {
     uint64_t time = store_record_time(store);
     budget_table_merge(&store->budgets, charge, time);
-    budget_table_note_kept(&store->budgets, charge);
+    budget_table_mark_durable(&store->budgets, charge);
     turn_table_need_segment(&store->turns, segment, time + BUDGET_RETENTION_MS);
 }
 
--- a/src/store/store_requests.c
+++ b/src/store/store_requests.c
@@ -74,7 +74,7 @@
 }
 
 static void mark_charge_durable(store_t *store, const budget_charge_t *charge, uint32_t segment) {
-    budget_table_note_kept(&store->budgets, charge);
+    budget_table_mark_durable(&store->budgets, charge);
     turn_table_need_segment(&store->turns, segment, store_record_time(store) + BUDGET_RETENTION_MS);
 }
 
@@ -323,12 +323,12 @@
     const char *program = request->charge.program;
     if (admission->admitted)
         event_log(STORE_PROGRAM_READMITTED, request->tenant, program, share->tokens,
-                  share->tokens_per_ms * MS_PER_S, admission->owed, admission->expected,
-                  admission->under_way);
+                  share->tokens_per_ms * MS_PER_S, admission->remaining_calls,
+                  admission->expected_calls, admission->active_programs);
     else
         event_log(STORE_PROGRAM_REFUSED, request->tenant, program, share->tokens,
-                  share->tokens_per_ms * MS_PER_S, admission->owed, admission->expected,
-                  admission->under_way, admission->wait_ms);
+                  share->tokens_per_ms * MS_PER_S, admission->remaining_calls,
+                  admission->expected_calls, admission->active_programs, admission->wait_ms);
 }
 
 static void handle_program_allowance(store_t *store, frame_connection_t *connection,
--- a/src/store/store_room.c
+++ b/src/store/store_room.c
@@ -101,5 +101,5 @@
 
 bool store_can_accept_reserve(const store_t *store, const budget_charge_t *charge) {
     bool fits = !disk_is_failing(store) && records_fit(store, RESERVES_MAX_PERCENT, 0);
-    return fits || budget_table_knows(&store->budgets, charge->program, charge->call);
+    return fits || budget_table_contains(&store->budgets, charge->program, charge->call);
 }
--- a/tests/unit/admission_test.cc
+++ b/tests/unit/admission_test.cc
@@ -113,7 +113,7 @@
     EXPECT_LE(admitted, 30u);
     EXPECT_FALSE(last.admitted);
     EXPECT_GE(last.wait_ms, 100u);
-    EXPECT_NEAR(last.expected, 10, 1);
+    EXPECT_NEAR(last.expected_calls, 10, 1);
     EXPECT_TRUE(call(1, now + 100, false, {0, 0.1, 40}).begun);
     EXPECT_TRUE(call(1, now + 100, false, {0, 0.1, 40}).admitted) << "active";
 }
--- a/tests/unit/backend_paces_test.cc
+++ b/tests/unit/backend_paces_test.cc
@@ -286,7 +286,7 @@
     EXPECT_FALSE(backend_avoided(backend));
     EXPECT_EQ(backend_tell_out_ms(backend), 0U);
     EXPECT_EQ(backend->elsewhere, 0U);
-    EXPECT_EQ(backend->signs.heard_at, 0U);
+    EXPECT_EQ(backend->signs.last_received_at, 0U);
     backend_send_ended(backend, &long_ago);
 }
 
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -438,14 +438,14 @@
 
 TEST(Outage, RetryAfterGrowsWithTheOutage) {
     outage_t outage = {};
-    outage_note(&outage, 5000);
-    EXPECT_EQ(outage_come_back_ms(&outage, 5001), unsigned{OUTAGE_COME_BACK_LEAST_MS});
-    outage_note(&outage, 5300); // A later refusal does not restart it.
-    EXPECT_EQ(outage_come_back_ms(&outage, 7000), 500U);
-    EXPECT_EQ(outage_come_back_ms(&outage, 60000), unsigned{OUTAGE_COME_BACK_MOST_MS});
+    outage_begin(&outage, 5000);
+    EXPECT_EQ(outage_retry_after_ms(&outage, 5001), unsigned{OUTAGE_RETRY_AFTER_MIN_MS});
+    outage_begin(&outage, 5300); // A later refusal does not restart it.
+    EXPECT_EQ(outage_retry_after_ms(&outage, 7000), 500U);
+    EXPECT_EQ(outage_retry_after_ms(&outage, 60000), unsigned{OUTAGE_RETRY_AFTER_MAX_MS});
     outage_end(&outage);
-    outage_note(&outage, 60000);
-    EXPECT_EQ(outage_come_back_ms(&outage, 60100), unsigned{OUTAGE_COME_BACK_LEAST_MS});
+    outage_begin(&outage, 60000);
+    EXPECT_EQ(outage_retry_after_ms(&outage, 60100), unsigned{OUTAGE_RETRY_AFTER_MIN_MS});
 }
 
 } // namespace
--- a/tests/unit/quota_test.cc
+++ b/tests/unit/quota_test.cc
@@ -37,7 +37,7 @@
                 quota_limit_t limit = {1, rate, burst};
                 unsigned count = quota_split_count(&bounds, &limit, members);
                 quota_share_t share = quota_split_share(&bounds, &limit, members);
-                double span = bounds.window_ms + quota_split_grant_ms(&bounds);
+                double span = bounds.window_ms + quota_split_grant_lifetime_ms(&bounds);
                 double one = share.max_tokens + share.initial_tokens + share.tokens_per_ms * span;
                 unsigned most = count < members ? count + 1 : count;
                 EXPECT_LE(one * most, allowed(limit) + 1e-6)
@@ -48,8 +48,8 @@
 }
 
 TEST(QuotaSplit, GrantsExpireSoon) {
-    EXPECT_GT(quota_split_grant_ms(&bounds), 50u);
-    EXPECT_LE(quota_split_grant_ms(&bounds), 500u);
+    EXPECT_GT(quota_split_grant_lifetime_ms(&bounds), 50u);
+    EXPECT_LE(quota_split_grant_lifetime_ms(&bounds), 500u);
 }
 
 class QuotaTable : public testing::Test {
--- a/tests/unit/record_digest_test.cc
+++ b/tests/unit/record_digest_test.cc
@@ -50,7 +50,7 @@
         char program[] = "p";
         std::string id = call;
         budget_charge_t charge = {program, id.data(), amount, amount, settled, false, 0};
-        budget_table_note_kept(&budgets, &charge);
+        budget_table_mark_durable(&budgets, &charge);
     }
     record_digest_t digest() const {
         record_digest_t digest;
--- a/tests/unit/come_back_test.cc
+++ b/tests/unit/retry_after_test.cc
@@ -8,7 +8,7 @@
 #include <vector>
 
 extern "C" {
-#include "core/retry/come_back.h"
+#include "core/retry/retry_after.h"
 }
 
 #include <gtest/gtest.h>
@@ -57,13 +57,13 @@
     uint64_t known = zone.detected_at[random() % gateways];
     uint64_t answered = std::max(at, known);
     uint32_t held = static_cast<uint32_t>(answered - at);
-    come_back_t call = {};
-    call.reason = COME_BACK_ISOLATED;
-    call.lasted_ms = static_cast<uint32_t>(answered - known);
-    call.led_ms = rule == Rule::DECISION ? redirect_delay_ms : 0;
+    retry_after_t call = {};
+    call.reason = RETRY_AFTER_ISOLATED;
+    call.duration_ms = static_cast<uint32_t>(answered - known);
+    call.redirect_after_ms = rule == Rule::DECISION ? redirect_delay_ms : 0;
     call.time_left_ms = left > held ? left - held : 0;
     call.program_left_ms = program_left > held ? program_left - held : 0;
-    return {false, answered, come_back_ms(&call)};
+    return {false, answered, retry_after_delay_ms(&call)};
 }
 
 Outcome simulate(const Zone &zone, Rule rule, uint64_t begins, uint32_t deadline,
@@ -78,7 +78,8 @@
                 return {false, refusal.answered_at};
             now = refusal.answered_at;
             if (attempt == 0)
-                now += std::min<uint64_t>(refusal.wait_ms, (limit - now) / COME_BACK_HONOURED_PART);
+                now += std::min<uint64_t>(refusal.wait_ms,
+                                          (limit - now) / RETRY_AFTER_HONOURED_DIVISOR);
         }
         now += 100 + random() % 300;
     }
@@ -123,8 +124,8 @@
     }
 }
 
-come_back_t refused(come_back_reason_t reason) {
-    come_back_t call = {};
+retry_after_t refused(retry_after_reason_t reason) {
+    retry_after_t call = {};
     call.reason = reason;
     call.time_left_ms = 3000;
     call.program_left_ms = UINT32_MAX;
@@ -132,40 +133,41 @@
 }
 
 TEST(RetryAfter, IsTheTimeUntilRedirection) {
-    come_back_t call = refused(COME_BACK_ISOLATED);
-    call.led_ms = 2300;
+    retry_after_t call = refused(RETRY_AFTER_ISOLATED);
+    call.redirect_after_ms = 2300;
     call.time_left_ms = 30000;
-    EXPECT_EQ(come_back_ms(&call), 2300U);
-    call.lasted_ms = 1500;
-    EXPECT_EQ(come_back_ms(&call), 800U);
-    call.lasted_ms = 2290;
-    EXPECT_EQ(come_back_ms(&call), unsigned{COME_BACK_SOON_MS});
-    call.lasted_ms = 5000;
-    EXPECT_EQ(come_back_ms(&call), unsigned{COME_BACK_ELSEWHERE_MS});
+    EXPECT_EQ(retry_after_delay_ms(&call), 2300U);
+    call.duration_ms = 1500;
+    EXPECT_EQ(retry_after_delay_ms(&call), 800U);
+    call.duration_ms = 2290;
+    EXPECT_EQ(retry_after_delay_ms(&call), unsigned{RETRY_AFTER_TRANSIENT_MS});
+    call.duration_ms = 5000;
+    EXPECT_EQ(retry_after_delay_ms(&call), unsigned{RETRY_AFTER_REDIRECTED_MS});
 }
 
 TEST(RetryAfter, IsAtMostWhatTheCallerHonours) {
-    come_back_t call = refused(COME_BACK_ISOLATED);
-    call.led_ms = 2300;
-    EXPECT_EQ(come_back_ms(&call), 1000U);
+    retry_after_t call = refused(RETRY_AFTER_ISOLATED);
+    call.redirect_after_ms = 2300;
+    EXPECT_EQ(retry_after_delay_ms(&call), 1000U);
     call.time_left_ms = 90;
-    EXPECT_EQ(come_back_ms(&call), unsigned{COME_BACK_SOON_MS});
+    EXPECT_EQ(retry_after_delay_ms(&call), unsigned{RETRY_AFTER_TRANSIENT_MS});
 }
 
 TEST(RetryAfter, OtherReasonsAreNotAffectedByRedirection) {
-    come_back_t call = refused(COME_BACK_SOON);
-    EXPECT_EQ(come_back_ms(&call), 150U);
-    call = refused(COME_BACK_ISOLATED); // The redirection time is unknown.
-    EXPECT_EQ(come_back_ms(&call), 300U);
-    call = refused(COME_BACK_KNOWN);
-    call.known_ms = 777;
-    EXPECT_EQ(come_back_ms(&call), 777U);
+    retry_after_t call = refused(RETRY_AFTER_TRANSIENT);
+    EXPECT_EQ(retry_after_delay_ms(&call), 150U);
+    call = refused(RETRY_AFTER_ISOLATED); // The redirection time is unknown.
+    EXPECT_EQ(retry_after_delay_ms(&call), 300U);
+    call = refused(RETRY_AFTER_KNOWN);
+    call.known_wait_ms = 777;
+    EXPECT_EQ(retry_after_delay_ms(&call), 777U);
     for (uint32_t lasted : {0U, 400U, 2000U, 60000U}) {
-        call = refused(COME_BACK_OUTAGE);
-        call.lasted_ms = lasted;
+        call = refused(RETRY_AFTER_OUTAGE);
+        call.duration_ms = lasted;
         outage_t outage = {};
-        outage_note(&outage, 1000);
-        EXPECT_EQ(come_back_ms(&call), outage_come_back_ms(&outage, 1000 + lasted)) << lasted;
+        outage_begin(&outage, 1000);
+        EXPECT_EQ(retry_after_delay_ms(&call), outage_retry_after_ms(&outage, 1000 + lasted))
+            << lasted;
     }
 }
 
--- a/tests/unit/routing_test.cc
+++ b/tests/unit/routing_test.cc
@@ -132,7 +132,7 @@
         retries++;
     EXPECT_EQ(retries, 10) << "a new leader can retry lost calls at once";
     for (int i = 0; i < 1000; i++) {
-        retry_budget_first_try(&budget);
+        retry_budget_record_first_attempt(&budget);
         retries += retry_budget_take(&budget);
     }
     EXPECT_EQ(retries, 110);
--- a/tests/unit/turns_test.cc
+++ b/tests/unit/turns_test.cc
@@ -242,12 +242,12 @@
     budget_charge_t settled = {program, call, 60, 20, true, false, 0};
     budget_table_merge(&replica, &reserve, 0);
     EXPECT_FALSE(budget_table_covers(&replica, &reserve));
-    budget_table_note_kept(&replica, &reserve);
+    budget_table_mark_durable(&replica, &reserve);
     EXPECT_TRUE(budget_table_covers(&replica, &reserve));
     budget_table_settle(&replica, "p", "1", 20, 0);
-    budget_table_note_kept(&replica, &reserve);
+    budget_table_mark_durable(&replica, &reserve);
     EXPECT_FALSE(budget_table_covers(&replica, &reserve)) << "the reserve's write completed late";
-    budget_table_note_kept(&replica, &settled);
+    budget_table_mark_durable(&replica, &settled);
     EXPECT_TRUE(budget_table_covers(&replica, &settled));
     EXPECT_TRUE(budget_table_covers(&replica, &reserve));
     budget_table_clear(&replica);
--- a/tests/unit/watch_duty_test.cc
+++ b/tests/unit/watch_duty_test.cc
@@ -45,7 +45,7 @@
     EXPECT_FALSE(decide(overdue_at).on_duty);
     watch_decision_t decision = decide(overdue_at + 1);
     EXPECT_TRUE(decision.on_duty);
-    reports[2].heard_at = overdue_at;
+    reports[2].last_received_at = overdue_at;
     EXPECT_FALSE(decide(overdue_at + 1).on_duty) << "one of them was answered";
 }
 
@@ -122,7 +122,8 @@
     EXPECT_TRUE(decide(now + WATCH_LAG_MS).renew);
     own.begun_at = now + WATCH_LAG_MS;
     EXPECT_FALSE(decide(now + WATCH_LAG_MS + 1).renew) << "the new watch has just started";
-    reports[0].heard_at = reports[1].heard_at = reports[2].heard_at = now + WATCH_TRIAL_MS;
+    reports[0].last_received_at = reports[1].last_received_at = reports[2].last_received_at =
+        now + WATCH_TRIAL_MS;
     EXPECT_FALSE(decide(now + WATCH_LAG_MS + WATCH_TRIAL_MS - 1).renew);
     EXPECT_TRUE(decide(now + WATCH_LAG_MS + WATCH_TRIAL_MS).renew) << "the new watch missed it too";
     own.known = 51;
@@ -139,7 +140,7 @@
     while (reports.size() < WATCH_PROBING)
         reports.push_back({true, 0, now - 200, UINT32_MAX, 50, true, false});
     EXPECT_TRUE(decide().patient) << "even if their own watches have failed";
-    reports[0].heard_at = now - 2000;
+    reports[0].last_received_at = now - 2000;
     EXPECT_FALSE(decide().patient) << "one of them is unresponsive";
     reports[0] = {false, 0, now - 200, 2000, 50, true, true};
     EXPECT_FALSE(decide().patient) << "one of them has a higher address";
@@ -153,7 +154,7 @@
     watch_decision_t decision = decide();
     EXPECT_TRUE(decision.on_duty);
     EXPECT_FALSE(decision.first);
-    reports[0].heard_at = now - 2000;
+    reports[0].last_received_at = now - 2000;
     EXPECT_TRUE(decide().first);
 }
 
@@ -167,7 +168,7 @@
     EXPECT_FALSE(decision.on_duty);
     EXPECT_FALSE(decision.renew) << "even during an outage";
     EXPECT_TRUE(decision.patient);
-    reports[0].heard_at = now - 2000;
+    reports[0].last_received_at = now - 2000;
     decision = decide();
     EXPECT_TRUE(decision.on_duty);
     EXPECT_TRUE(decision.renew) << "its source was not confirmed for a minute";
--- a/tests/unit/zone_silence_test.cc
+++ b/tests/unit/zone_isolation_test.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 extern "C" {
-#include "core/isolation/zone_silence.h"
+#include "core/isolation/zone_isolation.h"
 }
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   public:
     std::vector<zone_member_t> members;
     std::vector<bool> reached; // Probes are answered.
-    zone_silence_t isolation = {};
+    zone_isolation_t isolation = {};
     uint64_t now = 10000;
     uint64_t waits_since = 0; // An operation has been waiting since then; 0: none.
     unsigned probes = 0;
@@ -30,46 +30,46 @@
     unsigned ends = 0;
     bool neighbour_reaches = false; // A reopened connection through another gateway works.
 
-    explicit Gateway(unsigned near = 2, unsigned remote = 5) {
-        for (unsigned i = 0; i < near + remote; i++) {
-            members.push_back({i < near, now, 0});
+    explicit Gateway(unsigned local = 2, unsigned remote = 5) {
+        for (unsigned i = 0; i < local + remote; i++) {
+            members.push_back({i < local, now, 0});
             reached.push_back(true);
         }
     }
     void isolate(bool on) {
         for (size_t i = 0; i < members.size(); i++)
-            if (!members[i].near)
+            if (!members[i].local)
                 reached[i] = !on;
     }
     void set_all(bool answers) {
         std::fill(reached.begin(), reached.end(), answers);
     }
     bool waiting() const {
-        return waits_since > 0 && now >= waits_since + ZONE_WAIT_MS;
+        return waits_since > 0 && now >= waits_since + ZONE_SUSPECT_AFTER_MS;
     }
     void check() {
-        bool before = isolation.cut;
-        zone_silence_step_t step =
-            zone_silence_look(&isolation, members.data(), members.size(), quorum, waiting(), now);
-        isolations += !before && isolation.cut;
-        ends += before && !isolation.cut;
-        if (step == ZONE_SILENCE_RECONNECT) {
+        bool before = isolation.isolated;
+        zone_isolation_step_t step = zone_isolation_check(&isolation, members.data(),
+                                                          members.size(), quorum, waiting(), now);
+        isolations += !before && isolation.isolated;
+        ends += before && !isolation.isolated;
+        if (step == ZONE_ISOLATION_RECONNECT) {
             reconnects++;
             if (neighbour_reaches)
                 set_all(true);
         }
-        if (step == ZONE_SILENCE_NOTHING)
+        if (step == ZONE_ISOLATION_NO_ACTION)
             return;
         probes++;
         for (auto &member : members)
-            member.asked_at = member.asked_at == 0 ? now : member.asked_at;
+            member.probed_at = member.probed_at == 0 ? now : member.probed_at;
         answer_at = now + answer_ms;
     }
     void run(uint64_t ms, uint64_t first_check = 0) {
         for (uint64_t i = 0; i < ms; i++, now++) {
             if (now == answer_at)
                 answer();
-            if (i >= first_check && (i - first_check) % ZONE_LOOK_MS == 0)
+            if (i >= first_check && (i - first_check) % ZONE_CHECK_INTERVAL_MS == 0)
                 check();
         }
     }
@@ -81,8 +81,8 @@
         for (size_t i = 0; i < members.size(); i++) {
             if (!reached[i])
                 continue;
-            members[i].heard_at = now;
-            members[i].asked_at = 0;
+            members[i].last_received_at = now;
+            members[i].probed_at = 0;
         }
     }
 };
@@ -97,9 +97,9 @@
         here.isolate(true);
         uint64_t began = here.now;
         here.waits_since = began;
-        while (!here.isolation.cut && here.now < began + 2000)
-            here.run(ZONE_LOOK_MS, random() % ZONE_LOOK_MS);
-        ASSERT_TRUE(here.isolation.cut);
+        while (!here.isolation.isolated && here.now < began + 2000)
+            here.run(ZONE_CHECK_INTERVAL_MS, random() % ZONE_CHECK_INTERVAL_MS);
+        ASSERT_TRUE(here.isolation.isolated);
         uint64_t taken = here.isolation.since - began;
         first = std::min(first, taken);
         last = std::max(last, taken);
@@ -107,7 +107,7 @@
         EXPECT_EQ(here.isolations, 1U);
         EXPECT_EQ(here.ends, 0U);
     }
-    EXPECT_GE(first, uint64_t{ZONE_WAIT_MS + ZONE_ISOLATED_AFTER_MS});
+    EXPECT_GE(first, uint64_t{ZONE_SUSPECT_AFTER_MS + ZONE_ISOLATED_AFTER_MS});
     EXPECT_LE(last, 550U);
 }
 
@@ -125,11 +125,11 @@
     Gateway here;
     here.isolate(true);
     here.run(2000);
-    EXPECT_FALSE(here.isolation.cut) << "no operation is waiting";
+    EXPECT_FALSE(here.isolation.isolated) << "no operation is waiting";
     here.waits_since =
-        here.now - ZONE_WAIT_MS; // Another gateway's report counts as a waiting operation.
+        here.now - ZONE_SUSPECT_AFTER_MS; // Another gateway's report counts as a waiting operation.
     here.run(ZONE_SUSPECT_MAX_MS);
-    EXPECT_TRUE(here.isolation.cut);
+    EXPECT_TRUE(here.isolation.isolated);
 }
 
 TEST(ZoneIsolation, LossOfOneMemberOrOneOtherZoneIsNoIsolation) {
@@ -154,7 +154,7 @@
     here.waits_since = here.now;
     here.run(5000);
     EXPECT_EQ(here.isolations, 0U) << "other gateways are no better off";
-    EXPECT_FALSE(zone_silence_in_doubt(&here.isolation, here.now))
+    EXPECT_FALSE(zone_isolation_suspected(&here.isolation, here.now))
         << "callers must not wait for the decision";
 }
 
@@ -164,7 +164,7 @@
     here.isolate(true);
     here.waits_since = here.now;
     here.run(600);
-    EXPECT_TRUE(here.isolation.cut) << "unsolicited frames do not count as responses";
+    EXPECT_TRUE(here.isolation.isolated) << "unsolicited frames do not count as responses";
 }
 
 TEST(ZoneIsolation, ASingleDisconnectedGatewayContinuesThroughANeighbour) {
@@ -182,7 +182,7 @@
     here.isolate(true);
     here.waits_since = here.now;
     here.run(600);
-    ASSERT_TRUE(here.isolation.cut);
+    ASSERT_TRUE(here.isolation.isolated);
     // Connections through other gateways are reopened repeatedly without any response.
     here.run(6000);
     EXPECT_EQ(here.ends, 0U);
@@ -197,7 +197,7 @@
     here.waits_since = here.now;
     here.isolate(true);
     here.run(600);
-    ASSERT_TRUE(here.isolation.cut);
+    ASSERT_TRUE(here.isolation.isolated);
     for (unsigned i = 0; i < 20; i++) {
         here.isolate(false);
         here.run(150);
@@ -207,9 +207,9 @@
     EXPECT_EQ(here.ends, 0U);
     here.isolate(false);
     uint64_t restored = here.now;
-    while (here.isolation.cut && here.now < restored + 5000)
-        here.run(ZONE_LOOK_MS);
-    EXPECT_FALSE(here.isolation.cut);
+    while (here.isolation.isolated && here.now < restored + 5000)
+        here.run(ZONE_CHECK_INTERVAL_MS);
+    EXPECT_FALSE(here.isolation.isolated);
     EXPECT_GE(here.now - restored, uint64_t{ZONE_RECOVERY_MS});
     EXPECT_LE(here.now - restored, uint64_t{ZONE_RECOVERY_MS + 4 * ZONE_PROBE_INTERVAL_MS});
     EXPECT_EQ(here.isolations, 1U);
