--- a/src/core/routing/backend.h
+++ b/src/core/routing/backend.h
@@ -29,8 +29,8 @@
 typedef struct {
     uint32_t running;
     uint32_t waiting;
-    bool leaving;  /**< The engine reports that it is shutting down. */
-    int64_t at_ms; /**< 0: no report received. */
+    bool leaving;           /**< The engine reports that it is shutting down. */
+    int64_t received_at_ms; /**< 0: no report received. */
 } load_report_t;
 
 typedef struct {
--- a/src/core/routing/backend_speed.c
+++ b/src/core/routing/backend_speed.c
@@ -42,33 +42,33 @@
     return a < b ? a : b;
 }
 
-void backend_samples_note(backend_samples_t *samples, uint32_t work_us, uint64_t now) {
-    samples->recent[samples->noted % BACKEND_SAMPLES] = work_us;
-    samples->noted++;
+void backend_samples_add(backend_samples_t *samples, uint32_t work_us, uint64_t now) {
+    samples->recent[samples->total_samples % BACKEND_SAMPLES] = work_us;
+    samples->total_samples++;
     samples->at = now;
 }
 
-backend_pace_t backend_samples_pace(const backend_samples_t *samples) {
+speed_estimate_t backend_samples_estimate(const backend_samples_t *samples) {
     uint32_t sorted[BACKEND_SAMPLES];
-    unsigned count = min_unsigned(samples->noted, BACKEND_SAMPLES);
+    unsigned count = min_unsigned(samples->total_samples, BACKEND_SAMPLES);
     memcpy(sorted, samples->recent, sizeof sorted);
-    return (backend_pace_t){median(sorted, count), count, samples->at};
+    return (speed_estimate_t){median(sorted, count), count, samples->at};
 }
 
-void recent_times_note(recent_times_t *window, uint32_t value) {
-    window->recent[window->noted % RECENT_TIMES] = value;
-    window->noted++;
+void sample_window_add(sample_window_t *window, uint32_t value) {
+    window->recent[window->total_samples % SAMPLE_WINDOW_SIZE] = value;
+    window->total_samples++;
 }
 
-uint32_t recent_times_median(const recent_times_t *window) {
-    uint32_t sorted[RECENT_TIMES];
-    unsigned count = min_unsigned(window->noted, RECENT_TIMES);
+uint32_t sample_window_median(const sample_window_t *window) {
+    uint32_t sorted[SAMPLE_WINDOW_SIZE];
+    unsigned count = min_unsigned(window->total_samples, SAMPLE_WINDOW_SIZE);
     memcpy(sorted, window->recent, sizeof sorted);
     return count < MIN_VALUES ? 0 : median(sorted, count);
 }
 
-void work_slowdown_note(work_slowdown_t *slowdown, uint32_t work_us, unsigned load,
-                        uint32_t earlier_us, unsigned earlier_load) {
+void load_slowdown_add_pair(load_slowdown_t *slowdown, uint32_t work_us, unsigned load,
+                            uint32_t earlier_us, unsigned earlier_load) {
     unsigned difference = load > earlier_load ? load - earlier_load : earlier_load - load;
     if (difference < MIN_LOAD_DIFFERENCE)
         return;
@@ -80,37 +80,38 @@
 }
 
 /** Relative slowdown per concurrent call; 0 while there are too few pairs. */
-static double slope(const work_slowdown_t *slowdown) {
+static double slope(const load_slowdown_t *slowdown) {
     if (slowdown->squares < MIN_SQUARES || slowdown->products < 0)
         return 0;
     double share = slowdown->products / slowdown->squares;
     return share > MAX_SLOPE ? MAX_SLOPE : share;
 }
 
-uint32_t work_slowdown_remove(const work_slowdown_t *slowdown, uint32_t work_us, unsigned load) {
+uint32_t load_slowdown_normalize(const load_slowdown_t *slowdown, uint32_t work_us, unsigned load) {
     return (uint32_t)(work_us * exp(-slope(slowdown) * load));
 }
 
-void work_spread_note(recent_times_t *spread, uint32_t work_us, uint32_t earlier_us) {
+void work_spread_record(sample_window_t *spread, uint32_t work_us, uint32_t earlier_us) {
     uint32_t difference = work_us > earlier_us ? work_us - earlier_us : earlier_us - work_us;
     uint64_t sum = (uint64_t)work_us + earlier_us;
     if (sum > 0)
-        recent_times_note(spread, (uint32_t)(2 * (uint64_t)difference * THOUSAND / sum));
+        sample_window_add(spread, (uint32_t)(2 * (uint64_t)difference * THOUSAND / sum));
 }
 
-unsigned backend_pace_weight(const backend_pace_t *estimate, uint64_t now) {
+unsigned speed_estimate_weight(const speed_estimate_t *estimate, uint64_t now) {
     uint64_t age = now > estimate->at ? now - estimate->at : 0;
-    if (age >= PACE_FORGET_MS || estimate->work_us == 0)
+    if (age >= SPEED_ESTIMATE_EXPIRY_MS || estimate->work_us == 0)
         return 0;
-    return min_unsigned(estimate->samples, MAX_WEIGHT) >> (age / PACE_HALF_LIFE_MS);
+    return min_unsigned(estimate->samples, MAX_WEIGHT) >> (age / SPEED_ESTIMATE_HALF_LIFE_MS);
 }
 
-backend_pace_t backend_pace_join(const backend_pace_t *estimates, unsigned count, uint64_t now) {
-    const backend_pace_t *sorted[BACKEND_TELLERS_MOST + 1];
-    backend_pace_t merged = {0};
+speed_estimate_t speed_estimate_merge(const speed_estimate_t *estimates, unsigned count,
+                                      uint64_t now) {
+    const speed_estimate_t *sorted[BACKEND_REPORTERS_MAX + 1];
+    speed_estimate_t merged = {0};
     unsigned used = 0;
-    for (unsigned i = 0; i < count && used <= BACKEND_TELLERS_MOST; i++) {
-        unsigned weight = backend_pace_weight(&estimates[i], now);
+    for (unsigned i = 0; i < count && used <= BACKEND_REPORTERS_MAX; i++) {
+        unsigned weight = speed_estimate_weight(&estimates[i], now);
         if (weight == 0)
             continue;
         unsigned position = used++;
@@ -123,13 +124,13 @@
     unsigned below = 0;
     for (unsigned i = 0; i < used && 2 * below < merged.samples; i++) {
         merged.work_us = sorted[i]->work_us;
-        below += backend_pace_weight(sorted[i], now);
+        below += speed_estimate_weight(sorted[i], now);
     }
     return merged;
 }
 
-bool backend_pace_known(const backend_pace_t *estimate, uint64_t now) {
-    bool expired = now >= estimate->at + PACE_FORGET_MS;
+bool speed_estimate_is_usable(const speed_estimate_t *estimate, uint64_t now) {
+    bool expired = now >= estimate->at + SPEED_ESTIMATE_EXPIRY_MS;
     return !expired && estimate->work_us > 0 && estimate->samples >= MIN_SAMPLES;
 }
 
@@ -151,15 +152,15 @@
  * error of the median of n exponentially distributed samples is 1.44 times their median over
  * sqrt(n). The median difference of two normally distributed samples is 0.95 standard deviations.
  */
-static double significance_ratio(const backend_pace_t *estimate, const recent_times_t *spread) {
-    uint32_t difference = recent_times_median(spread);
-    double deviation = spread->noted < MIN_VALUES ? DEFAULT_DEVIATION : difference / 950.0;
+static double significance_ratio(const speed_estimate_t *estimate, const sample_window_t *spread) {
+    uint32_t difference = sample_window_median(spread);
+    double deviation = spread->total_samples < MIN_VALUES ? DEFAULT_DEVIATION : difference / 950.0;
     return 1 + SIGNIFICANT_DEVIATIONS * MEDIAN_ERROR_FACTOR * deviation / sqrt(estimate->samples);
 }
 
-unsigned backend_speed_percent(const backend_pace_t *estimate, uint32_t typical_us,
-                               const recent_times_t *spread, uint64_t now) {
-    if (typical_us == 0 || !backend_pace_known(estimate, now))
+unsigned backend_speed_percent(const speed_estimate_t *estimate, uint32_t typical_us,
+                               const sample_window_t *spread, uint64_t now) {
+    if (typical_us == 0 || !speed_estimate_is_usable(estimate, now))
         return BACKEND_SPEED_TYPICAL_PERCENT;
     double ratio = (double)estimate->work_us / typical_us;
     double threshold = significance_ratio(estimate, spread);
--- a/src/core/routing/backend_speed.h
+++ b/src/core/routing/backend_speed.h
@@ -26,11 +26,11 @@
 };
 
 enum {
-    BACKEND_SAMPLES = 9,       /**< Kept for each back end; the median tolerates four outliers. */
-    BACKEND_TELLERS_MOST = 16, /**< Other gateways whose estimates of a back end are kept. */
-    RECENT_TIMES = 31,
-    PACE_HALF_LIFE_MS = 15000, /**< The weight of an estimate halves in this time. */
-    PACE_FORGET_MS = 60000,    /**< Older estimates are ignored. */
+    BACKEND_SAMPLES = 9,        /**< Kept for each back end; the median tolerates four outliers. */
+    BACKEND_REPORTERS_MAX = 16, /**< Other gateways whose estimates of a back end are kept. */
+    SAMPLE_WINDOW_SIZE = 31,
+    SPEED_ESTIMATE_HALF_LIFE_MS = 15000, /**< The weight of an estimate halves in this time. */
+    SPEED_ESTIMATE_EXPIRY_MS = 60000,    /**< Older estimates are ignored. */
 };
 
 /** A gateway's estimate of a back end's speed, as measured or as reported by another gateway. */
@@ -38,28 +38,28 @@
     uint32_t work_us; /**< Median time of a unit of work without concurrent calls; 0: unknown. */
     uint32_t samples;
     uint64_t at; /**< Time of the latest sample. */
-} backend_pace_t;
+} speed_estimate_t;
 
 /** Ring buffer of the latest samples of one back end. */
 typedef struct {
     uint32_t recent[BACKEND_SAMPLES];
-    unsigned noted; /**< Samples added in total. */
-    uint64_t at;    /**< Time of the latest sample. */
+    unsigned total_samples; /**< Samples added in total. */
+    uint64_t at;            /**< Time of the latest sample. */
 } backend_samples_t;
 
 /** Adds a sample: a unit of work took @p work_us. */
-void backend_samples_note(backend_samples_t *samples, uint32_t work_us, uint64_t now);
-backend_pace_t backend_samples_pace(const backend_samples_t *samples);
+void backend_samples_add(backend_samples_t *samples, uint32_t work_us, uint64_t now);
+speed_estimate_t backend_samples_estimate(const backend_samples_t *samples);
 
 /** Ring buffer of the latest values of a quantity. */
 typedef struct {
-    uint32_t recent[RECENT_TIMES];
-    unsigned noted; /**< Values added in total. */
-} recent_times_t;
+    uint32_t recent[SAMPLE_WINDOW_SIZE];
+    unsigned total_samples; /**< Values added in total. */
+} sample_window_t;
 
-void recent_times_note(recent_times_t *window, uint32_t value);
+void sample_window_add(sample_window_t *window, uint32_t value);
 /** Median of the values; 0 while there are too few. */
-uint32_t recent_times_median(const recent_times_t *window);
+uint32_t sample_window_median(const sample_window_t *window);
 
 /**
  * Slowdown per concurrent call at the back ends of a service: a least-squares fit, over pairs of
@@ -68,28 +68,29 @@
 typedef struct {
     double products;
     double squares;
-} work_slowdown_t;
+} load_slowdown_t;
 
 /**
  * Adds a pair of samples of one back end: @p work_us with @p load concurrent calls, and
  * @p earlier_us with @p earlier_load.
  */
-void work_slowdown_note(work_slowdown_t *slowdown, uint32_t work_us, unsigned load,
-                        uint32_t earlier_us, unsigned earlier_load);
+void load_slowdown_add_pair(load_slowdown_t *slowdown, uint32_t work_us, unsigned load,
+                            uint32_t earlier_us, unsigned earlier_load);
 /** Normalizes @p work_us, measured with @p load concurrent calls, to a load of 0. */
-uint32_t work_slowdown_remove(const work_slowdown_t *slowdown, uint32_t work_us, unsigned load);
+uint32_t load_slowdown_normalize(const load_slowdown_t *slowdown, uint32_t work_us, unsigned load);
 
 /** Weight of an estimate: the number of its samples, up to a limit, halved with age. */
-unsigned backend_pace_weight(const backend_pace_t *estimate, uint64_t now);
-/** Weighted median of the estimates of up to BACKEND_TELLERS_MOST + 1 gateways. */
-backend_pace_t backend_pace_join(const backend_pace_t *estimates, unsigned count, uint64_t now);
+unsigned speed_estimate_weight(const speed_estimate_t *estimate, uint64_t now);
+/** Weighted median of the estimates of up to BACKEND_REPORTERS_MAX + 1 gateways. */
+speed_estimate_t speed_estimate_merge(const speed_estimate_t *estimates, unsigned count,
+                                      uint64_t now);
 /** True if the estimate is recent and has enough samples to be used. */
-bool backend_pace_known(const backend_pace_t *estimate, uint64_t now);
+bool speed_estimate_is_usable(const speed_estimate_t *estimate, uint64_t now);
 /**
  * Adds the difference of two consecutive samples of a back end to @p spread, in thousandths of
  * their mean. The spread of a service measures how much the times of a single back end vary.
  */
-void work_spread_note(recent_times_t *spread, uint32_t work_us, uint32_t earlier_us);
+void work_spread_record(sample_window_t *spread, uint32_t work_us, uint32_t earlier_us);
 /** Median of @p works_us, which is sorted in place; 0 if @p count is too small. */
 uint32_t backend_speed_typical_us(uint32_t *works_us, unsigned count);
 /**
@@ -97,7 +98,7 @@
  * BACKEND_SPEED_MAX_PERCENT]. BACKEND_SPEED_TYPICAL_PERCENT if the estimate can't be used, or if
  * the difference is not significant given @p spread.
  */
-unsigned backend_speed_percent(const backend_pace_t *estimate, uint32_t typical_us,
-                               const recent_times_t *spread, uint64_t now);
+unsigned backend_speed_percent(const speed_estimate_t *estimate, uint32_t typical_us,
+                               const sample_window_t *spread, uint64_t now);
 
 #endif
--- a/src/core/routing/ejection.c
+++ b/src/core/routing/ejection.c
@@ -8,7 +8,7 @@
     MIN_REPORTERS = 2,
 };
 
-void ejection_note_reset(ejection_t *ejection, uint64_t now) {
+void ejection_record_reset(ejection_t *ejection, uint64_t now) {
     bool first = ejection->resets == 0;
     uint64_t elapsed = now - ejection->last_reset;
     if (first || elapsed > OUTAGE_GAP_MS)
@@ -24,27 +24,27 @@
         ejection->ejected_until = until;
 }
 
-uint32_t ejection_tell_ms(const ejection_t *ejection, uint64_t now) {
+uint32_t ejection_remaining_ms(const ejection_t *ejection, uint64_t now) {
     return ejection->ejected_until > now ? (uint32_t)(ejection->ejected_until - now) : 0;
 }
 
-void ejection_forget_told(ejection_t *ejection) {
+void ejection_clear_reports(ejection_t *ejection) {
     ejection->reporters = 0;
-    ejection->told_until = 0;
+    ejection->reported_until = 0;
 }
 
-void ejection_note_told(ejection_t *ejection, uint64_t until, uint64_t now) {
+void ejection_add_report(ejection_t *ejection, uint64_t until, uint64_t now) {
     if (until <= now)
         return;
     ejection->reporters++;
-    if (until > ejection->told_until)
-        ejection->told_until = until;
+    if (until > ejection->reported_until)
+        ejection->reported_until = until;
 }
 
-bool ejection_told_out(const ejection_t *ejection, uint64_t now) {
-    return ejection->reporters >= MIN_REPORTERS && now < ejection->told_until;
+bool ejection_is_reported(const ejection_t *ejection, uint64_t now) {
+    return ejection->reporters >= MIN_REPORTERS && now < ejection->reported_until;
 }
 
-bool ejection_is_out(const ejection_t *ejection, uint64_t now) {
-    return now < ejection->ejected_until || ejection_told_out(ejection, now);
+bool ejection_is_active(const ejection_t *ejection, uint64_t now) {
+    return now < ejection->ejected_until || ejection_is_reported(ejection, now);
 }
--- a/src/core/routing/ejection.h
+++ b/src/core/routing/ejection.h
@@ -22,23 +22,23 @@
 enum { QUICK_RESET_MS = 25 };
 
 typedef struct {
-    unsigned resets;        /**< Consecutive quick resets seen by this gateway. */
-    uint64_t last_reset;    /**< Time of the latest one. */
-    uint64_t ejected_until; /**< End of the ejection by this gateway. */
-    unsigned reporters;     /**< Other gateways that report it as ejected. */
-    uint64_t told_until;    /**< Latest end of the ejection among their reports. */
+    unsigned resets;         /**< Consecutive quick resets seen by this gateway. */
+    uint64_t last_reset;     /**< Time of the latest one. */
+    uint64_t ejected_until;  /**< End of the ejection by this gateway. */
+    unsigned reporters;      /**< Other gateways that report it as ejected. */
+    uint64_t reported_until; /**< Latest end of the ejection among their reports. */
 } ejection_t;
 
-void ejection_note_reset(ejection_t *ejection, uint64_t now);
+void ejection_record_reset(ejection_t *ejection, uint64_t now);
 /** Remaining time of the ejection by this gateway, to report to the others; 0: not ejected. */
-uint32_t ejection_tell_ms(const ejection_t *ejection, uint64_t now);
+uint32_t ejection_remaining_ms(const ejection_t *ejection, uint64_t now);
 /** Clears the reports of other gateways, before they are added again. */
-void ejection_forget_told(ejection_t *ejection);
+void ejection_clear_reports(ejection_t *ejection);
 /** Adds the report of another gateway that ejects the back end until @p until. */
-void ejection_note_told(ejection_t *ejection, uint64_t until, uint64_t now);
+void ejection_add_report(ejection_t *ejection, uint64_t until, uint64_t now);
 /** True if the back end is ejected because of other gateways' reports. */
-bool ejection_told_out(const ejection_t *ejection, uint64_t now);
+bool ejection_is_reported(const ejection_t *ejection, uint64_t now);
 /** True if the back end is ejected, by this gateway or by reports. */
-bool ejection_is_out(const ejection_t *ejection, uint64_t now);
+bool ejection_is_active(const ejection_t *ejection, uint64_t now);
 
 #endif
--- a/src/core/routing/engine_usual.c
+++ b/src/core/routing/engine_baseline.c
@@ -1,4 +1,4 @@
-#include "core/routing/engine_usual.h"
+#include "core/routing/engine_baseline.h"
 
 #include <glib.h>
 
@@ -33,13 +33,13 @@
     return MAX(ms, 1) * speed_percent / PERCENT;
 }
 
-void engine_usual_note_turn(engine_usual_t *baseline, double ms, unsigned speed_percent) {
+void engine_baseline_record_turn(engine_baseline_t *baseline, double ms, unsigned speed_percent) {
     add_sample(&baseline->turn_ms,
                CLAMP(normalize_ms(ms, speed_percent), TURN_MIN_MS, TURN_MAX_MS));
 }
 
-void engine_usual_note_first(engine_usual_t *baseline, double ms, uint32_t reread_tokens,
-                             unsigned speed_percent) {
+void engine_baseline_record_first_event_time(engine_baseline_t *baseline, double ms,
+                                             uint32_t reread_tokens, unsigned speed_percent) {
     double typical_ms = normalize_ms(ms, speed_percent);
     if (reread_tokens == 0) {
         add_sample(&baseline->first_event_ms, typical_ms);
@@ -52,26 +52,26 @@
                CLAMP(reread_tokens / reread_ms, TOKENS_PER_MS_MIN, TOKENS_PER_MS_MAX));
 }
 
-double engine_usual_turn_ms(const engine_usual_t *baseline) {
+double engine_baseline_turn_ms(const engine_baseline_t *baseline) {
     return value_or(&baseline->turn_ms, TURN_DEFAULT_MS);
 }
 
-double engine_usual_tokens_per_ms(const engine_usual_t *baseline) {
+double engine_baseline_tokens_per_ms(const engine_baseline_t *baseline) {
     return value_or(&baseline->tokens_per_ms, TOKENS_PER_MS_DEFAULT);
 }
 
-void engine_usual_note_refused(engine_usual_t *baseline, unsigned load, unsigned slots) {
+void engine_baseline_record_refused(engine_baseline_t *baseline, unsigned load, unsigned slots) {
     if (load >= slots)
         add_sample(&baseline->refused_percent, (double)load * PERCENT / slots);
 }
 
-void engine_usual_note_taken(engine_usual_t *baseline, unsigned load, unsigned slots) {
+void engine_baseline_record_accepted(engine_baseline_t *baseline, unsigned load, unsigned slots) {
     double percent = (double)(load + 1) * PERCENT / slots;
     if (baseline->refused_percent.samples > 0 && percent > baseline->refused_percent.value)
         add_sample(&baseline->refused_percent, percent);
 }
 
-unsigned engine_usual_queue(const engine_usual_t *baseline, unsigned slots) {
+unsigned engine_baseline_queue(const engine_baseline_t *baseline, unsigned slots) {
     unsigned limit = (unsigned)(baseline->refused_percent.value * slots / PERCENT + 0.5);
     return baseline->refused_percent.samples == 0 ? 0 : MAX(limit, slots + 1) - slots;
 }
--- a/src/core/routing/engine_choice.c
+++ b/src/core/routing/engine_choice.c
@@ -33,7 +33,7 @@
 static bool eligible(const search_t *search, const engine_candidate_t *engine) {
     if (engine->avoided && !search->use_avoided)
         return false;
-    if (search->local_only && !engine->near)
+    if (search->local_only && !engine->local)
         return false;
     return search->max_load_percent == 0 ||
            engine->load * PERCENT <= engine->slots * search->max_load_percent;
@@ -94,7 +94,7 @@
     return NULL;
 }
 
-bool engine_crowded(const engine_candidate_t *engine) {
+bool engine_overloaded(const engine_candidate_t *engine) {
     return engine->load * PERCENT >= engine->slots * OVERLOAD_PERCENT;
 }
 
@@ -110,7 +110,7 @@
     if (current == NULL)
         return search_zones(&search, chosen);
     search.max_load_percent = TARGET_MAX_PERCENT;
-    if (!engine_crowded(current) || !search_zones(&search, chosen))
+    if (!engine_overloaded(current) || !search_zones(&search, chosen))
         *chosen = (unsigned)(current - candidates);
     return true;
 }
--- a/src/core/routing/engine_choice.h
+++ b/src/core/routing/engine_choice.h
@@ -27,7 +27,7 @@
     uint64_t id;   /**< Hash of the engine's instance; the same at all gateways. */
     unsigned load; /**< Known calls in progress from all gateways. */
     unsigned slots;
-    bool near;    /**< In the gateway's zone. */
+    bool local;   /**< In the gateway's zone. */
     bool avoided; /**< Failed recently or is slow to respond; gets no new programs. */
     bool down;    /**< Probably down; its programs move to other engines. */
 } engine_candidate_t;
@@ -38,7 +38,7 @@
 } engine_request_t;
 
 /** True if the engine's queue is so long that its programs may move to another engine. */
-bool engine_crowded(const engine_candidate_t *engine);
+bool engine_overloaded(const engine_candidate_t *engine);
 /** Sets @p chosen to the index of the best candidate. False if no candidate can be used. */
 bool engine_choose(const engine_candidate_t *candidates, unsigned count,
                    const engine_request_t *request, unsigned *chosen);
--- a/src/core/routing/engine_cost.c
+++ b/src/core/routing/engine_cost.c
@@ -15,7 +15,7 @@
 }
 
 /** Mean time between completions with all slots occupied. */
-static double departure_ms(const engine_state_t *engine, const engine_turn_t *turn) {
+static double departure_ms(const engine_state_t *engine, const turn_profile_t *turn) {
     return turn->turn_ms / MAX(engine->slots, 1) / relative_speed(engine);
 }
 
@@ -27,7 +27,7 @@
  * Time to process prompt tokens that another engine has cached and this one lacks, plus the delay
  * that this causes to each running call, weighted by INTERFERENCE_PERCENT.
  */
-static double reread_ms(const engine_state_t *engine, const engine_turn_t *turn,
+static double reread_ms(const engine_state_t *engine, const turn_profile_t *turn,
                         prompt_cache_t cache) {
     uint32_t tokens = turn->prompt_tokens - MIN(turn->new_tokens, turn->prompt_tokens);
     if (cache == PROMPT_CACHE_HIT)
@@ -38,7 +38,7 @@
     return tokens / turn->tokens_per_ms / relative_speed(engine) * interference;
 }
 
-double engine_cost_ms(const engine_state_t *engine, const engine_turn_t *turn,
+double engine_cost_ms(const engine_state_t *engine, const turn_profile_t *turn,
                       prompt_cache_t cache) {
     double waiting = engine->load < engine->slots ? 0 : engine->load - engine->slots + 1;
     double occupancy = (double)running_calls(engine) / MAX(engine->slots, 1);
@@ -54,10 +54,10 @@
 
 bool engine_full(const engine_state_t *engine) {
     bool queue_full = engine->queue > 0 && engine->load >= engine->slots + engine->queue;
-    return engine->turns_away || queue_full;
+    return engine->refusing || queue_full;
 }
 
-double engine_free_ms(const engine_state_t *engine, const engine_turn_t *turn) {
+double engine_free_ms(const engine_state_t *engine, const turn_profile_t *turn) {
     unsigned limit = engine_full(engine) ? engine->slots + engine->queue : engine->slots;
     unsigned ahead = engine->load < limit ? 0 : engine->load - limit + 1;
     if (engine_full(engine))
--- a/src/core/routing/engine_cost.h
+++ b/src/core/routing/engine_cost.h
@@ -20,7 +20,7 @@
     unsigned slots;
     unsigned queue;         /**< Maximum number of queued calls; 0: unknown. */
     unsigned speed_percent; /**< Of the service's typical speed; see backend_speed.h. */
-    bool turns_away;        /**< It refused a call, and its load has not fallen since. */
+    bool refusing;          /**< It refused a call, and its load has not fallen since. */
 } engine_state_t;
 
 /** A turn's prompt, and typical figures of its service. */
@@ -30,7 +30,7 @@
     uint32_t part_tokens;   /**< Of the first part of the prompt, which many programs share. */
     double turn_ms;         /**< Duration of a turn at typical speed with a free slot. */
     double tokens_per_ms;   /**< Prompt processing rate at typical speed. */
-} engine_turn_t;
+} turn_profile_t;
 
 /** How much of a turn's prompt an engine has cached. */
 typedef enum {
@@ -40,7 +40,7 @@
 } prompt_cache_t;
 
 /** Expected time to completion, plus the delay that processing the prompt causes to other calls. */
-double engine_cost_ms(const engine_state_t *engine, const engine_turn_t *turn,
+double engine_cost_ms(const engine_state_t *engine, const turn_profile_t *turn,
                       prompt_cache_t cache);
 /** True if the engine is expected to refuse another call. */
 bool engine_full(const engine_state_t *engine);
@@ -50,6 +50,6 @@
  */
 bool engine_full_for_new(const engine_state_t *engine);
 /** Expected time until a place in the queue is free if the engine is full, else until a slot is. */
-double engine_free_ms(const engine_state_t *engine, const engine_turn_t *turn);
+double engine_free_ms(const engine_state_t *engine, const turn_profile_t *turn);
 
 #endif
--- a/src/core/routing/engine_limit.c
+++ b/src/core/routing/engine_limit.c
@@ -12,8 +12,8 @@
         *limit = (engine_limit_t){.incarnation = incarnation};
 }
 
-void engine_limit_note_refused(engine_limit_t *limit, uint64_t incarnation, unsigned load,
-                               unsigned slots, uint64_t now) {
+void engine_limit_record_refused(engine_limit_t *limit, uint64_t incarnation, unsigned load,
+                                 unsigned slots, uint64_t now) {
     reset_on_restart(limit, incarnation);
     limit->refused_load = load;
     limit->refused_until = now + REFUSAL_HOLD_MS;
@@ -25,14 +25,14 @@
     limit->limit += (load - limit->limit) / STEP_DIVISOR;
 }
 
-void engine_limit_note_taken(engine_limit_t *limit, uint64_t incarnation, unsigned load) {
+void engine_limit_record_accepted(engine_limit_t *limit, uint64_t incarnation, unsigned load) {
     reset_on_restart(limit, incarnation);
     if (limit->limit > 0)
         limit->limit = MAX(limit->limit, (double)load + 1);
 }
 
-bool engine_limit_turns_away(const engine_limit_t *limit, uint64_t incarnation, unsigned load,
-                             uint64_t now) {
+bool engine_limit_is_refusing(const engine_limit_t *limit, uint64_t incarnation, unsigned load,
+                              uint64_t now) {
     return limit->incarnation == incarnation && now < limit->refused_until &&
            load >= limit->refused_load;
 }
--- a/src/core/routing/engine_limit.h
+++ b/src/core/routing/engine_limit.h
@@ -25,13 +25,13 @@
 } engine_limit_t;
 
 /** The engine refused a call; @p load does not include that call. */
-void engine_limit_note_refused(engine_limit_t *limit, uint64_t incarnation, unsigned load,
-                               unsigned slots, uint64_t now);
+void engine_limit_record_refused(engine_limit_t *limit, uint64_t incarnation, unsigned load,
+                                 unsigned slots, uint64_t now);
 /** The engine ran a call that was sent at load @p load. */
-void engine_limit_note_taken(engine_limit_t *limit, uint64_t incarnation, unsigned load);
+void engine_limit_record_accepted(engine_limit_t *limit, uint64_t incarnation, unsigned load);
 /** True if the engine refused a call recently and its load has not fallen since. */
-bool engine_limit_turns_away(const engine_limit_t *limit, uint64_t incarnation, unsigned load,
-                             uint64_t now);
+bool engine_limit_is_refusing(const engine_limit_t *limit, uint64_t incarnation, unsigned load,
+                              uint64_t now);
 /** Estimated maximum number of queued calls; 0: unknown. */
 unsigned engine_limit_queue(const engine_limit_t *limit, uint64_t incarnation, unsigned slots);
 
--- a/src/core/routing/engine_placement.c
+++ b/src/core/routing/engine_placement.c
@@ -46,7 +46,7 @@
         cache = PROMPT_CACHE_HIT;
     else if (has_assigned_part(search, option))
         cache = PROMPT_CACHE_PART;
-    double remote_ms = option->near ? 0 : ENGINE_REMOTE_COST_MS;
+    double remote_ms = option->local ? 0 : ENGINE_REMOTE_COST_MS;
     return engine_cost_ms(&option->state, &search->request->turn, cache) + remote_ms;
 }
 
@@ -84,13 +84,13 @@
 static double min_local_cost(const search_t *search) {
     double lowest = INFINITY;
     for (unsigned i = 0; i < search->count; i++)
-        if (search->options[i].near && accepts_turn(search, &search->options[i]))
+        if (search->options[i].local && accepts_turn(search, &search->options[i]))
             lowest = fmin(lowest, cost_of(search, &search->options[i]));
     return lowest;
 }
 
 static bool eligible(const search_t *search, const engine_option_t *option, bool local_zone) {
-    return option->near == local_zone && accepts_turn(search, option);
+    return option->local == local_zone && accepts_turn(search, option);
 }
 
 /** Indices of the engines at two positions among the eligible ones. */
@@ -114,7 +114,7 @@
         count += eligible(search, &search->options[i], local_zone);
     if (count == 0)
         return NO_ENGINE;
-    uint64_t random = search->request->draw;
+    uint64_t random = search->request->random_bits;
     const unsigned positions[2] = {(unsigned)(random >> RANDOM_FIELD_BITS) % count,
                                    (unsigned)(random >> 2 * RANDOM_FIELD_BITS) % count};
     int indices[2] = {NO_ENGINE, NO_ENGINE};
@@ -143,10 +143,10 @@
 }
 
 /** True at random, with the probability that equalizes the costs of both engines. */
-static bool should_leave(const search_t *search, double place_ms, double other_ms) {
-    double gain = place_ms - other_ms;
-    double share = gain / (2 * place_ms);
-    double sample = (double)(search->request->draw & ((1U << RANDOM_FIELD_BITS) - 1)) /
+static bool should_leave(const search_t *search, double stay_cost_ms, double other_ms) {
+    double gain = stay_cost_ms - other_ms;
+    double share = gain / (2 * stay_cost_ms);
+    double sample = (double)(search->request->random_bits & ((1U << RANDOM_FIELD_BITS) - 1)) /
                     (1U << RANDOM_FIELD_BITS);
     return gain > search->request->turn.turn_ms * MIN_GAIN_PERCENT / PERCENT && sample < share;
 }
@@ -154,7 +154,7 @@
 static bool should_stay(const search_t *search, const engine_option_t *current, int other) {
     if (other == NO_ENGINE)
         return true;
-    if (current->state.turns_away)
+    if (current->state.refusing)
         return false;
     return !should_leave(search, cost_of(search, current),
                          cost_of(search, &search->options[other]));
@@ -186,7 +186,7 @@
     const engine_option_t *current = find_current(&search);
     placement_t placement = {0};
     if (current != NULL)
-        placement.place_ms = cost_of(&search, current);
+        placement.stay_cost_ms = cost_of(&search, current);
     int chosen = choose(&search, current);
     if (chosen == NO_ENGINE || request->wants_free_ms)
         placement.free_ms = min_free_ms(&search);
@@ -196,7 +196,7 @@
     }
     placement.chosen = (unsigned)chosen;
     placement.cost_ms = cost_of(&search, &options[chosen]);
-    placement.look_far =
+    placement.try_remote =
         search.use_avoided || search.use_full ||
         (!has_slot(&options[chosen]) && placement.cost_ms > idle_remote_cost(&search));
     return placement;
--- a/src/core/routing/engine_placement.h
+++ b/src/core/routing/engine_placement.h
@@ -27,7 +27,7 @@
 typedef struct {
     uint64_t id; /**< Hash of the engine's instance; the same at all gateways. */
     engine_state_t state;
-    bool near;    /**< In the gateway's zone. */
+    bool local;   /**< In the gateway's zone. */
     bool avoided; /**< Failed recently or is slow to respond; gets no new programs. */
     bool down;    /**< Probably down; its programs move to other engines. */
 } engine_option_t;
@@ -35,10 +35,10 @@
 typedef struct {
     uint64_t place; /**< Id of the engine that has the program's prompt cached; 0: unknown. */
     uint64_t part;  /**< Hash of the first part of the prompt, else of the program. */
-    engine_turn_t turn;
+    turn_profile_t turn;
     bool begun; /**< The program is in progress; it may use a full engine if all are full. */
-    bool wants_free_ms; /**< Set free_ms even if an engine is found. */
-    uint64_t draw;      /**< Random bits of this turn. */
+    bool wants_free_ms;   /**< Set free_ms even if an engine is found. */
+    uint64_t random_bits; /**< Random bits of this turn. */
 } placement_request_t;
 
 typedef enum {
@@ -49,11 +49,12 @@
 
 typedef struct {
     placement_outcome_t outcome;
-    unsigned chosen; /**< PLACEMENT_FOUND: index of the engine. */
-    double cost_ms;  /**< PLACEMENT_FOUND: cost at that engine. */
-    double place_ms; /**< Cost at the program's current engine; 0: it has none among the options. */
+    unsigned chosen;     /**< PLACEMENT_FOUND: index of the engine. */
+    double cost_ms;      /**< PLACEMENT_FOUND: cost at that engine. */
+    double stay_cost_ms; /**< Cost at the program's current engine; 0: it has none among the
+                            options. */
     double free_ms;  /**< Expected time until an engine is free; set if none is found or wanted. */
-    bool look_far;   /**< An engine in another zone may be better. */
+    bool try_remote; /**< An engine in another zone may be better. */
 } placement_t;
 
 placement_t engine_place(const engine_option_t *options, unsigned count,
--- a/src/core/routing/routing.c
+++ b/src/core/routing/routing.c
@@ -41,7 +41,7 @@
     return *(const uint64_t *)value < *(const uint64_t *)limit;
 }
 
-void prefix_note_sent(backend_t *backend, const prefix_t *prefix) {
+void prefix_record_sent(backend_t *backend, const prefix_t *prefix) {
     backend->prefix_stamp++;
     for (uint32_t i = 0; i < prefix->count; i++) {
         uint64_t *key = g_new(uint64_t, 1);
--- a/src/core/routing/routing.h
+++ b/src/core/routing/routing.h
@@ -58,6 +58,6 @@
 /** Number of leading blocks that @p backend probably has cached. */
 uint32_t prefix_cached_blocks(const backend_t *backend, const prefix_t *prefix);
 /** Marks the prompt's blocks as cached by @p backend; evicts the least recently sent ones. */
-void prefix_note_sent(backend_t *backend, const prefix_t *prefix);
+void prefix_record_sent(backend_t *backend, const prefix_t *prefix);
 
 #endif
--- a/src/core/routing/service_choice.c
+++ b/src/core/routing/service_choice.c
@@ -42,12 +42,12 @@
     cost += scale_to_speed(candidate, answer) - (int)answer;
     if (!candidate->connected)
         cost += NEW_CONNECTION_COST;
-    if (!candidate->near)
+    if (!candidate->local)
         cost += remote_cost(candidate);
     return cost;
 }
 
-bool service_stays_near(const service_candidate_t *candidate) {
+bool service_stays_local(const service_candidate_t *candidate) {
     if (candidate->speed_percent == 0)
         return service_cost(candidate) <= SERVICE_REMOTE_COST;
     return queued_calls(candidate) == 0;
--- a/src/core/routing/service_choice.h
+++ b/src/core/routing/service_choice.h
@@ -27,7 +27,7 @@
     unsigned load; /**< Known calls in progress from all gateways. */
     unsigned slots;
     bool connected; /**< An idle connection is open. */
-    bool near;      /**< In the gateway's zone. */
+    bool local;     /**< In the gateway's zone. */
     bool avoided;
     unsigned speed_percent; /**< Of the service's typical speed; 0: speeds are not measured. */
     unsigned answer_ms;     /**< Typical response time of the service; 0: unknown. */
@@ -45,7 +45,7 @@
  * True if no back end of another zone can be better than @p candidate, the best one of the local
  * zone. Where speeds are measured, that is while it has a free slot.
  */
-bool service_stays_near(const service_candidate_t *candidate);
+bool service_stays_local(const service_candidate_t *candidate);
 
 /**
  * Sets @p chosen to the index of the best candidate. False if there is none.
--- a/src/gateway/backend_choice.c
+++ b/src/gateway/backend_choice.c
@@ -54,7 +54,7 @@
         .load = backend_load(backend),
         .slots = backend_slots(backend, choice->slots),
         .connected = backend->idle->len > 0,
-        .near = backend->near,
+        .local = backend->local,
         .avoided = avoided,
         .speed_percent = candidates->speeds ? backend_speed(backend) : 0,
         .answer_ms = candidates->speeds ? backend_usual_answer_ms(backend) : 0,
@@ -68,7 +68,7 @@
         .id = backend->id_hash,
         .load = backend_load(backend),
         .slots = backend_slots(backend, choice->slots),
-        .near = backend->near,
+        .local = backend->local,
         .avoided = avoided,
         .down = backend_down(backend),
     };
@@ -114,7 +114,7 @@
 
 /** True if no remote back end can be better than the candidate at @p index. */
 static bool local_is_best(const candidates_t *candidates, unsigned index) {
-    return service_stays_near(&g_array_index(candidates->services, service_candidate_t, index));
+    return service_stays_local(&g_array_index(candidates->services, service_candidate_t, index));
 }
 
 backend_t *backends_choose(backends_t *backends, const backend_choice_t *choice) {
@@ -125,7 +125,7 @@
     unsigned index = 0;
     candidates_init(&candidates);
     candidates.speeds = backends_tell_lives(backends, choice->service);
-    add_list(&candidates, members->near, choice, add_service);
+    add_list(&candidates, members->local, choice, add_service);
     bool found = choose_service(&candidates, backends->seed, &index);
     if (!found || avoidance_is_doubtful(&candidates) || !local_is_best(&candidates, index)) {
         add_list(&candidates, members->far, choice, add_service);
@@ -149,7 +149,7 @@
         request->place == 0 ? NULL : backends_find_hash(backends, request->place);
     bool of_service =
         last_engine != NULL && strcmp(last_engine->record->service, choice->service) == 0;
-    return of_service && !last_engine->near ? last_engine : NULL;
+    return of_service && !last_engine->local ? last_engine : NULL;
 }
 
 /**
@@ -163,7 +163,7 @@
     bool is_last_engine = request->place != 0 && chosen->id == request->place;
     if (avoidance_is_doubtful(candidates))
         return false;
-    return is_last_engine ? !engine_crowded(chosen) : chosen->near;
+    return is_last_engine ? !engine_overloaded(chosen) : chosen->local;
 }
 
 backend_t *backends_choose_engine(backends_t *backends, const backend_choice_t *choice,
@@ -174,7 +174,7 @@
     candidates_t candidates;
     unsigned index = 0;
     candidates_init(&candidates);
-    add_list(&candidates, members->near, choice, add_engine);
+    add_list(&candidates, members->local, choice, add_engine);
     backend_t *last_engine = remote_last_engine(backends, choice, request);
     if (last_engine != NULL)
         add_one(&candidates, last_engine, choice, add_engine);
@@ -196,7 +196,7 @@
 typedef struct {
     GArray *options;     /**< Of engine_option_t. */
     GPtrArray *backends; /**< Of backend_t. */
-    const engine_usual_t *usual;
+    const engine_baseline_t *usual;
 } engine_options_t;
 
 static void add_option(engine_options_t *engines, backend_t *backend,
@@ -206,7 +206,7 @@
     engine_option_t option = {
         .id = backend->id_hash,
         .state = engine_load_state(backend, engines->usual, choice->slots),
-        .near = backend->near,
+        .local = backend->local,
         .avoided = backend_avoided(backend),
         .down = backend_down(backend),
     };
@@ -236,23 +236,23 @@
 static void describe_service(backends_t *backends, service_members_t *members,
                              placement_request_t *request) {
     uint64_t count = members->draws++;
-    request->draw = XXH64(&count, sizeof count, backends->seed);
-    request->turn.turn_ms = engine_usual_turn_ms(&members->usual);
-    request->turn.tokens_per_ms = engine_usual_tokens_per_ms(&members->usual);
+    request->random_bits = XXH64(&count, sizeof count, backends->seed);
+    request->turn.turn_ms = engine_baseline_turn_ms(&members->usual);
+    request->turn.tokens_per_ms = engine_baseline_tokens_per_ms(&members->usual);
 }
 
 /** Places the turn in the local zone, or also considers remote engines if that is not enough. */
 static placement_t place_in_zones(engine_options_t *engines, const service_members_t *members,
                                   backend_t *last_engine, const backend_choice_t *choice,
                                   const placement_request_t *request) {
-    for (guint i = 0; i < members->near->len; i++)
-        add_option(engines, g_ptr_array_index(members->near, i), choice);
+    for (guint i = 0; i < members->local->len; i++)
+        add_option(engines, g_ptr_array_index(members->local, i), choice);
     if (last_engine != NULL)
         add_option(engines, last_engine, choice);
     placement_t placement = place_among(engines, request);
-    if (placement.outcome == PLACEMENT_FOUND && !placement.look_far)
+    if (placement.outcome == PLACEMENT_FOUND && !placement.try_remote)
         return placement;
-    add_sampled_remote(engines, members->far, last_engine, choice, request->draw);
+    add_sampled_remote(engines, members->far, last_engine, choice, request->random_bits);
     return place_among(engines, request);
 }
 
--- a/src/gateway/backend_paces.c
+++ b/src/gateway/backend_paces.c
@@ -29,9 +29,9 @@
 
 /** Measurements of all back ends of a service. */
 typedef struct {
-    work_slowdown_t slowdown;
-    recent_times_t spread;
-    recent_times_t answers_ms;
+    load_slowdown_t slowdown;
+    sample_window_t spread;
+    sample_window_t answers_ms;
     uint32_t typical_answer_ms; /**< Median of answers_ms at the latest refresh. */
     GArray *works_us;           /**< Work times of its back ends with usable estimates. */
     uint32_t typical_us;
@@ -39,7 +39,7 @@
 
 typedef struct {
     uint64_t sender;
-    backend_pace_t estimate;
+    speed_estimate_t estimate;
 } reported_speed_t;
 
 /** Measurements of one incarnation of a back end. */
@@ -49,8 +49,8 @@
     uint32_t previous_us; /**< Previous sample, not corrected for load; 0: none. */
     unsigned previous_load;
     uint32_t previous_alone_us; /**< Previous sample, corrected for load; 0: none. */
-    reported_speed_t reported[BACKEND_TELLERS_MOST];
-    backend_pace_t merged;
+    reported_speed_t reported[BACKEND_REPORTERS_MAX];
+    speed_estimate_t merged;
     unsigned gateways; /**< Number of gateways whose estimates have a weight in `merged`. */
     unsigned percent;
     speed_class_t speed_class;
@@ -62,7 +62,7 @@
     GHashTable *by_incarnation; /**< Incarnation id to backend_t. */
     GHashTable *measured;       /**< Set of backend_t with an incarnation_speed_t. */
     GHashTable *services;       /**< Name to service_speed_t. */
-    GHashTable *routes;         /**< Name to recent_times_t of response times in ms. */
+    GHashTable *routes;         /**< Name to sample_window_t of response times in ms. */
     GQueue to_report;           /**< Of backend_t, with samples not yet reported. */
     uint64_t credited_at;
     uint64_t credit_bytes;
@@ -165,16 +165,16 @@
 static void record_sample(backend_t *backend, uint32_t work_us, unsigned load) {
     backend_speeds_t *speeds = backend->owner->speeds;
     incarnation_speed_t *speed = obtain_speed(backend);
-    work_slowdown_t *slowdown = &speed->service->slowdown;
+    load_slowdown_t *slowdown = &speed->service->slowdown;
     if (speed->previous_us > 0)
-        work_slowdown_note(slowdown, work_us, load, speed->previous_us, speed->previous_load);
+        load_slowdown_add_pair(slowdown, work_us, load, speed->previous_us, speed->previous_load);
     speed->previous_us = work_us;
     speed->previous_load = load;
-    uint32_t alone_us = MAX(1, work_slowdown_remove(slowdown, work_us, load));
+    uint32_t alone_us = MAX(1, load_slowdown_normalize(slowdown, work_us, load));
     if (speed->previous_alone_us > 0)
-        work_spread_note(&speed->service->spread, alone_us, speed->previous_alone_us);
+        work_spread_record(&speed->service->spread, alone_us, speed->previous_alone_us);
     speed->previous_alone_us = alone_us;
-    backend_samples_note(&speed->own, alone_us, uv_now(backend->loop));
+    backend_samples_add(&speed->own, alone_us, uv_now(backend->loop));
     if (speed->to_report)
         return;
     speed->to_report = true;
@@ -188,13 +188,13 @@
     record_sample(backend, event_us, calls > 0 ? calls - 1 : 0);
 }
 
-static recent_times_t *obtain_route(backend_speeds_t *speeds, const char *name) {
-    recent_times_t *route = g_hash_table_lookup(speeds->routes, name);
+static sample_window_t *obtain_route(backend_speeds_t *speeds, const char *name) {
+    sample_window_t *route = g_hash_table_lookup(speeds->routes, name);
     if (route != NULL)
         return route;
     if (g_hash_table_size(speeds->routes) >= ROUTES_MAX)
         g_hash_table_remove_all(speeds->routes);
-    route = g_new0(recent_times_t, 1);
+    route = g_new0(sample_window_t, 1);
     g_hash_table_insert(speeds->routes, g_strdup(name), route);
     return route;
 }
@@ -204,11 +204,11 @@
         return;
     backend_speeds_t *speeds = backend->owner->speeds;
     uint32_t ms = (uint32_t)MAX(1, uv_now(backend->loop) - sent_at);
-    recent_times_t *times = obtain_route(speeds, route);
-    recent_times_note(times, ms);
-    recent_times_note(&obtain_service(speeds, backend->record->service)->answers_ms, ms);
-    uint32_t route_ms = recent_times_median(times);
-    if (times->noted >= ROUTE_SAMPLES_MIN && route_ms >= MEASURABLE_MIN_MS)
+    sample_window_t *times = obtain_route(speeds, route);
+    sample_window_add(times, ms);
+    sample_window_add(&obtain_service(speeds, backend->record->service)->answers_ms, ms);
+    uint32_t route_ms = sample_window_median(times);
+    if (times->total_samples >= ROUTE_SAMPLES_MIN && route_ms >= MEASURABLE_MIN_MS)
         record_sample(backend, (uint32_t)MIN(UINT32_MAX, (uint64_t)ms * UNIT_US / route_ms), 0);
 }
 
@@ -232,7 +232,7 @@
         if (backend == NULL)
             return;
         backend->speed->to_report = false;
-        backend_pace_t estimate = backend_samples_pace(&backend->speed->own);
+        speed_estimate_t estimate = backend_samples_estimate(&backend->speed->own);
         load_entry_t entry = load_entry_of_pace(backend->incarnation_id, &estimate, now);
         g_array_append_val(entries, entry);
         speeds->credit_bytes -= bytes;
@@ -242,7 +242,7 @@
 /** The slot for the estimate of @p sender: its previous one, or else the least recent slot. */
 static reported_speed_t *find_report_slot(incarnation_speed_t *speed, uint64_t sender) {
     reported_speed_t *oldest = &speed->reported[0];
-    for (unsigned i = 0; i < BACKEND_TELLERS_MOST; i++) {
+    for (unsigned i = 0; i < BACKEND_REPORTERS_MAX; i++) {
         reported_speed_t *reported = &speed->reported[i];
         if (reported->sender == sender)
             return reported;
@@ -256,7 +256,7 @@
     backend_t *backend = g_hash_table_lookup(backends->speeds->by_incarnation, &entry->backend);
     if (backend == NULL)
         return false;
-    backend_pace_t estimate = load_entry_pace(entry, uv_now(backends->loop));
+    speed_estimate_t estimate = load_entry_pace(entry, uv_now(backends->loop));
     reported_speed_t *reported = find_report_slot(obtain_speed(backend), sender);
     if (reported->sender != sender || estimate.at >= reported->estimate.at)
         *reported = (reported_speed_t){sender, estimate};
@@ -266,14 +266,14 @@
 /* Speeds. */
 
 static void merge(incarnation_speed_t *speed, uint64_t now) {
-    backend_pace_t estimates[BACKEND_TELLERS_MOST + 1];
-    estimates[0] = backend_samples_pace(&speed->own);
-    for (unsigned i = 0; i < BACKEND_TELLERS_MOST; i++)
+    speed_estimate_t estimates[BACKEND_REPORTERS_MAX + 1];
+    estimates[0] = backend_samples_estimate(&speed->own);
+    for (unsigned i = 0; i < BACKEND_REPORTERS_MAX; i++)
         estimates[i + 1] = speed->reported[i].estimate;
-    speed->merged = backend_pace_join(estimates, BACKEND_TELLERS_MOST + 1, now);
+    speed->merged = speed_estimate_merge(estimates, BACKEND_REPORTERS_MAX + 1, now);
     speed->gateways = 0;
-    for (unsigned i = 0; i <= BACKEND_TELLERS_MOST; i++)
-        speed->gateways += backend_pace_weight(&estimates[i], now) > 0;
+    for (unsigned i = 0; i <= BACKEND_REPORTERS_MAX; i++)
+        speed->gateways += speed_estimate_weight(&estimates[i], now) > 0;
 }
 
 /** Merges all estimates and collects the usable ones by service; drops expired ones. */
@@ -288,7 +288,7 @@
         backend_t *backend = key;
         incarnation_speed_t *speed = backend->speed;
         merge(speed, now);
-        if (backend_pace_known(&speed->merged, now))
+        if (speed_estimate_is_usable(&speed->merged, now))
             g_array_append_val(speed->service->works_us, speed->merged.work_us);
         if (speed->merged.samples > 0 || speed->to_report)
             continue;
@@ -326,7 +326,7 @@
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         service_speed_t *service = value;
         uint32_t *works_us = (uint32_t *)service->works_us->data;
-        service->typical_answer_ms = recent_times_median(&service->answers_ms);
+        service->typical_answer_ms = sample_window_median(&service->answers_ms);
         service->typical_us = backend_speed_typical_us(works_us, service->works_us->len);
     }
 }
--- a/src/gateway/backends.c
+++ b/src/gateway/backends.c
@@ -20,7 +20,7 @@
 
 static void free_members(gpointer data) {
     service_members_t *members = data;
-    g_ptr_array_free(members->near, TRUE);
+    g_ptr_array_free(members->local, TRUE);
     g_ptr_array_free(members->far, TRUE);
     g_free(members);
 }
@@ -30,7 +30,7 @@
     if (members != NULL)
         return members;
     members = g_new0(service_members_t, 1);
-    members->near = g_ptr_array_new();
+    members->local = g_ptr_array_new();
     members->far = g_ptr_array_new();
     g_hash_table_insert(backends->by_service, g_strdup(service), members);
     return members;
@@ -48,8 +48,8 @@
     unsigned *counter = start_time_counter(members, backend->record);
     if (counter != NULL)
         ++*counter;
-    backend->near = strcmp(backend->record->zone, backends->zone) == 0;
-    backend->list = backend->near ? members->near : members->far;
+    backend->local = strcmp(backend->record->zone, backends->zone) == 0;
+    backend->list = backend->local ? members->local : members->far;
     backend->list_index = backend->list->len;
     g_ptr_array_add(backend->list, backend);
 }
@@ -270,7 +270,7 @@
 
 uint32_t backend_tell_out_ms(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
-    uint32_t ejection_ms = ejection_tell_ms(&backend->ejection, now);
+    uint32_t ejection_ms = ejection_remaining_ms(&backend->ejection, now);
     return is_overdue(backend, now) ? MAX(ejection_ms, OVERDUE_REPORT_MS) : ejection_ms;
 }
 
@@ -284,7 +284,7 @@
 
 bool backend_avoided(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
-    return ejection_is_out(&backend->ejection, now) || backend_down(backend) ||
+    return ejection_is_active(&backend->ejection, now) || backend_down(backend) ||
            is_overdue(backend, now);
 }
 
@@ -324,9 +324,9 @@
 
 void backend_note_reset(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
-    ejection_note_reset(&backend->ejection, now);
-    event_log(BACKEND_EJECTED, backend->record->instance, ejection_tell_ms(&backend->ejection, now),
-              "reset");
+    ejection_record_reset(&backend->ejection, now);
+    event_log(BACKEND_EJECTED, backend->record->instance,
+              ejection_remaining_ms(&backend->ejection, now), "reset");
     /* If the back end is down, its idle connections are dead as well. */
     close_idle(backend);
     mark_for_report(backend);
--- a/src/gateway/backends.h
+++ b/src/gateway/backends.h
@@ -18,14 +18,14 @@
 #include "core/retry/stall.h"
 #include "core/routing/engine_choice.h"
 #include "core/routing/engine_limit.h"
-#include "core/routing/engine_usual.h"
+#include "core/routing/engine_baseline.h"
 #include "net/http_client.h"
 
 /** The back ends of one service. */
 typedef struct {
-    GPtrArray *near;             /**< In the gateway's zone; of backend_t. */
+    GPtrArray *local;            /**< In the gateway's zone; of backend_t. */
     GPtrArray *far;              /**< In other zones; of backend_t. */
-    engine_usual_t usual;        /**< Running baseline of its turns; see engine_load.h. */
+    engine_baseline_t usual;     /**< Running baseline of its turns; see engine_load.h. */
     unsigned with_start_time;    /**< Back ends that report a start time, except leaving ones. */
     unsigned without_start_time; /**< Back ends that report none, except leaving ones. */
     uint64_t draws; /**< Input of the random bits of a placement; incremented by each. */
@@ -35,7 +35,7 @@
     backend_record_t *record;
     GPtrArray *list; /**< List of service_members_t that contains it; NULL: removed. */
     guint list_index;
-    bool near;               /**< In the gateway's zone. */
+    bool local;              /**< In the gateway's zone. */
     gint references;         /**< Of the table, and of the calls at this back end. */
     bool gone;               /**< Removed from the directory. */
     uint64_t lapsed_until;   /**< End of the grace period of an expired entry; 0: entry present. */
--- a/src/gateway/engine_load.c
+++ b/src/gateway/engine_load.c
@@ -9,19 +9,21 @@
     return members != NULL && members->with_start_time > 0 && members->without_start_time == 0;
 }
 
-static engine_usual_t *service_baseline(const backend_t *backend) {
+static engine_baseline_t *service_baseline(const backend_t *backend) {
     service_members_t *members =
         g_hash_table_lookup(backend->owner->by_service, backend->record->service);
     return &members->usual;
 }
 
 /** Observed maximum queue length of the engine, or else that of its service. */
-static unsigned queue_limit(const backend_t *backend, const engine_usual_t *usual, unsigned slots) {
+static unsigned queue_limit(const backend_t *backend, const engine_baseline_t *usual,
+                            unsigned slots) {
     unsigned own = engine_limit_queue(&backend->limit, backend_record_life(backend->record), slots);
-    return own > 0 ? own : engine_usual_queue(usual, slots);
+    return own > 0 ? own : engine_baseline_queue(usual, slots);
 }
 
-engine_state_t engine_load_state(backend_t *backend, const engine_usual_t *usual, unsigned slots) {
+engine_state_t engine_load_state(backend_t *backend, const engine_baseline_t *usual,
+                                 unsigned slots) {
     unsigned load = backend_load(backend);
     unsigned own_slots = backend_slots(backend, slots);
     return (engine_state_t){
@@ -29,17 +31,17 @@
         .slots = own_slots,
         .queue = queue_limit(backend, usual, own_slots),
         .speed_percent = backend_speed(backend),
-        .turns_away = engine_limit_turns_away(&backend->limit, backend_record_life(backend->record),
-                                              load, uv_now(backend->loop)),
+        .refusing = engine_limit_is_refusing(&backend->limit, backend_record_life(backend->record),
+                                             load, uv_now(backend->loop)),
     };
 }
 
 void engine_load_note_refused(backend_t *backend, unsigned slots) {
     unsigned load = backend_load(backend) - 1;
     unsigned own_slots = backend_slots(backend, slots);
-    engine_limit_note_refused(&backend->limit, backend_record_life(backend->record), load,
-                              own_slots, uv_now(backend->loop));
-    engine_usual_note_refused(service_baseline(backend), load, own_slots);
+    engine_limit_record_refused(&backend->limit, backend_record_life(backend->record), load,
+                                own_slots, uv_now(backend->loop));
+    engine_baseline_record_refused(service_baseline(backend), load, own_slots);
 }
 
 /** Times of turns that queued for a slot are not used: they include the wait. */
@@ -49,14 +51,14 @@
 
 void engine_load_note_first(backend_t *backend, unsigned load, unsigned slots, uint64_t ms,
                             uint32_t repeated_tokens) {
-    engine_limit_note_taken(&backend->limit, backend_record_life(backend->record), load);
-    engine_usual_note_taken(service_baseline(backend), load, backend_slots(backend, slots));
+    engine_limit_record_accepted(&backend->limit, backend_record_life(backend->record), load);
+    engine_baseline_record_accepted(service_baseline(backend), load, backend_slots(backend, slots));
     if (had_slot(backend, load, slots))
-        engine_usual_note_first(service_baseline(backend), (double)ms, repeated_tokens,
-                                backend_speed(backend));
+        engine_baseline_record_first_event_time(service_baseline(backend), (double)ms,
+                                                repeated_tokens, backend_speed(backend));
 }
 
 void engine_load_note_turn(backend_t *backend, unsigned load, unsigned slots, uint64_t ms) {
     if (had_slot(backend, load, slots))
-        engine_usual_note_turn(service_baseline(backend), (double)ms, backend_speed(backend));
+        engine_baseline_record_turn(service_baseline(backend), (double)ms, backend_speed(backend));
 }
--- a/src/gateway/engine_load.h
+++ b/src/gateway/engine_load.h
@@ -29,7 +29,8 @@
 unsigned backend_load(const backend_t *backend);
 
 /** Observed state of an engine; @p usual: of its service, @p slots: default if it reports none. */
-engine_state_t engine_load_state(backend_t *backend, const engine_usual_t *usual, unsigned slots);
+engine_state_t engine_load_state(backend_t *backend, const engine_baseline_t *usual,
+                                 unsigned slots);
 
 /** The engine refused a call that is still counted as active. */
 void engine_load_note_refused(backend_t *backend, unsigned slots);
--- a/src/gateway/engine_turn.c
+++ b/src/gateway/engine_turn.c
@@ -30,11 +30,11 @@
 }
 
 /** Parses the prompt's token counts. If it has a single part, all of it is new. */
-static engine_turn_t parse_prompt(const call_t *call) {
+static turn_profile_t parse_prompt(const call_t *call) {
     const char *tokens = call_field(call, FIELD_TOKENS);
     const char *parts = call_field(call, FIELD_PROMPT_PARTS);
     const char *last = parts == NULL ? NULL : strrchr(parts, ',');
-    engine_turn_t turn = {0};
+    turn_profile_t turn = {0};
     if (tokens != NULL)
         turn.prompt_tokens = (uint32_t)MIN(strtoull(tokens, NULL, 10), UINT32_MAX);
     turn.new_tokens = last == NULL ? turn.prompt_tokens : part_token_count(last);
@@ -69,7 +69,7 @@
     const backend_t *from = backends_find_hash(&call->gateway->backends, call->last_engine);
     event_log(GATEWAY_ENGINE_MOVED, call->id, program_name(call),
               from == NULL ? "-" : from->record->instance, call->backend->record->instance,
-              truncate_ms(placement->place_ms), truncate_ms(placement->cost_ms),
+              truncate_ms(placement->stay_cost_ms), truncate_ms(placement->cost_ms),
               from == NULL ? 0 : backend_load(from), call->engine_load);
 }
 
@@ -99,7 +99,7 @@
         return false;
     }
     call->engine_load = backend_load(call->backend) - 1;
-    const engine_turn_t *turn = &request.turn;
+    const turn_profile_t *turn = &request.turn;
     bool same_engine = call->last_engine == call->backend->id_hash;
     call->engine_recomputed_tokens =
         same_engine ? 0 : turn->prompt_tokens - MIN(turn->prompt_tokens, turn->new_tokens);
--- a/src/gateway/load_report.c
+++ b/src/gateway/load_report.c
@@ -28,17 +28,17 @@
     }
 }
 
-load_entry_t load_entry_of_pace(uint64_t incarnation, const backend_pace_t *pace, uint64_t now) {
+load_entry_t load_entry_of_pace(uint64_t incarnation, const speed_estimate_t *pace, uint64_t now) {
     uint64_t age = now > pace->at ? now - pace->at : 0;
     uint32_t samples = MIN(SAMPLES_MAX, pace->samples);
     return (load_entry_t){incarnation, pace->work_us,
                           (uint32_t)MIN(AGE_MAX_MS, age) << SAMPLES_BITS | samples};
 }
 
-backend_pace_t load_entry_pace(const load_entry_t *entry, uint64_t now) {
+speed_estimate_t load_entry_pace(const load_entry_t *entry, uint64_t now) {
     uint64_t age = entry->out_ms >> SAMPLES_BITS;
-    return (backend_pace_t){entry->under_way, entry->out_ms & SAMPLES_MAX,
-                            now > age ? now - age : 0};
+    return (speed_estimate_t){entry->under_way, entry->out_ms & SAMPLES_MAX,
+                              now > age ? now - age : 0};
 }
 
 GBytes *load_report_encode(const watch_report_t *watch, GArray *entries) {
--- a/src/gateway/load_report.h
+++ b/src/gateway/load_report.h
@@ -30,9 +30,9 @@
  * The speed measured at the incarnation of a back end with the id @p incarnation; see
  * backend_paces.h.
  */
-load_entry_t load_entry_of_pace(uint64_t incarnation, const backend_pace_t *pace, uint64_t now);
+load_entry_t load_entry_of_pace(uint64_t incarnation, const speed_estimate_t *pace, uint64_t now);
 /** Reads the speed from such an entry. */
-backend_pace_t load_entry_pace(const load_entry_t *entry, uint64_t now);
+speed_estimate_t load_entry_pace(const load_entry_t *entry, uint64_t now);
 /** Encodes the watch report @p watch and @p entries, of load_entry_t. */
 GBytes *load_report_encode(const watch_report_t *watch, GArray *entries);
 /** Returns false if @p data is no report. */
--- a/src/gateway/load_sharing.c
+++ b/src/gateway/load_sharing.c
@@ -87,10 +87,10 @@
 
 /** Logs that a back end is ejected because of the reports of others. */
 static void log_ejection(backend_t *backend, uint64_t now) {
-    bool told_out = ejection_told_out(&backend->ejection, now);
+    bool told_out = ejection_is_reported(&backend->ejection, now);
     if (told_out && !backend->told_out)
         event_log(BACKEND_EJECTED, backend->record->instance,
-                  (unsigned)(backend->ejection.told_until - now), "gateways");
+                  (unsigned)(backend->ejection.reported_until - now), "gateways");
     backend->told_out = told_out;
 }
 
@@ -101,7 +101,7 @@
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         backend_t *backend = key;
         backend->elsewhere = 0;
-        ejection_forget_told(&backend->ejection);
+        ejection_clear_reports(&backend->ejection);
     }
 }
 
@@ -117,7 +117,7 @@
         /* An earlier report may be about the previous incarnation. */
         if (backend->life_at == 0 ||
             peer->last_received_at >= backend->life_at + INCARNATION_SETTLE_MS)
-            ejection_note_told(&backend->ejection, peer->last_received_at + entry->out_ms, now);
+            ejection_add_report(&backend->ejection, peer->last_received_at + entry->out_ms, now);
         g_hash_table_add(sharing->backends->told_of, backend);
     }
 }
@@ -130,7 +130,7 @@
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         backend_t *backend = key;
         log_ejection(backend, now);
-        if (backend->elsewhere == 0 && backend->ejection.told_until <= now)
+        if (backend->elsewhere == 0 && backend->ejection.reported_until <= now)
             g_hash_table_iter_remove(&iterator);
     }
 }
--- a/src/node/backend_service.c
+++ b/src/node/backend_service.c
@@ -120,7 +120,7 @@
         bool begins_to_leave = poll->report.leaving && !backend->load.leaving;
         if (begins_to_leave)
             event_log(BACKEND_LEAVING, poll->name, "engine");
-        poll->report.at_ms = node->now_ms;
+        poll->report.received_at_ms = node->now_ms;
         backend_report_load(backend, &poll->report);
     } else if (backend != NULL) {
         bool was_available = backend_is_available(backend, node->now_ms);
--- a/src/node/runs.c
+++ b/src/node/runs.c
@@ -257,7 +257,7 @@
     GString *text = chat_prompt(messages);
     prefix_t *prefix = g_new(prefix_t, 1);
     prefix_compute(prefix, text->str, text->len);
-    prefix_note_sent(backend, prefix);
+    prefix_record_sent(backend, prefix);
     g_free(prefix);
     g_string_free(text, TRUE);
     json_decref(messages);
--- a/tests/unit/backend_paces_test.cc
+++ b/tests/unit/backend_paces_test.cc
@@ -277,7 +277,7 @@
     backend_note_reset(backend);
     backend->elsewhere = 5;
     backend->unreachable_at = uv_now(&gateway.loop);
-    ejection_note_told(&backend->ejection, uv_now(&gateway.loop) + 1000, uv_now(&gateway.loop));
+    ejection_add_report(&backend->ejection, uv_now(&gateway.loop) + 1000, uv_now(&gateway.loop));
     ASSERT_TRUE(backend_down(backend));
     ASSERT_TRUE(backend_avoided(backend));
     ASSERT_GT(backend_tell_out_ms(backend), 0U);
@@ -338,7 +338,7 @@
     const void *data = g_bytes_get_data(bytes, &length);
     ASSERT_TRUE(load_report_decode(&watch, read, data, length));
     ASSERT_EQ(read->len, 1U);
-    backend_pace_t pace = load_entry_pace(&g_array_index(read, load_entry_t, 0), 5000);
+    speed_estimate_t pace = load_entry_pace(&g_array_index(read, load_entry_t, 0), 5000);
     EXPECT_EQ(pace.work_us, 3000U);
     EXPECT_EQ(pace.samples, 1U);
     EXPECT_LE(pace.at, 5000U);
@@ -348,9 +348,9 @@
 }
 
 TEST(LoadReport, TheAgeOfASpeedEntryIsPreserved) {
-    backend_pace_t pace = {1234567, 300, 90000};
+    speed_estimate_t pace = {1234567, 300, 90000};
     load_entry_t entry = load_entry_of_pace(7, &pace, 100000);
-    backend_pace_t read = load_entry_pace(&entry, 500000);
+    speed_estimate_t read = load_entry_pace(&entry, 500000);
     EXPECT_EQ(read.work_us, 1234567U);
     EXPECT_EQ(read.samples, 255U);
     EXPECT_EQ(read.at, 490000U);
--- a/tests/unit/backend_speed_test.cc
+++ b/tests/unit/backend_speed_test.cc
@@ -15,36 +15,36 @@
 
 constexpr uint64_t now = 1000000;
 
-backend_pace_t estimate_of(std::initializer_list<uint32_t> works_us, uint64_t at = now) {
+speed_estimate_t estimate_of(std::initializer_list<uint32_t> works_us, uint64_t at = now) {
     backend_samples_t samples = {};
     for (uint32_t work : works_us)
-        backend_samples_note(&samples, work, at);
-    return backend_samples_pace(&samples);
+        backend_samples_add(&samples, work, at);
+    return backend_samples_estimate(&samples);
 }
 
 /** Spread of samples that differ by @p fraction of their mean. */
-recent_times_t spread_of(double fraction) {
-    recent_times_t spread = {};
+sample_window_t spread_of(double fraction) {
+    sample_window_t spread = {};
     for (unsigned i = 0; i < 10; i++)
-        work_spread_note(&spread, static_cast<uint32_t>(1000 * (1 + fraction / 2)),
-                         static_cast<uint32_t>(1000 * (1 - fraction / 2)));
+        work_spread_record(&spread, static_cast<uint32_t>(1000 * (1 + fraction / 2)),
+                           static_cast<uint32_t>(1000 * (1 - fraction / 2)));
     return spread;
 }
 
-unsigned percent_of(const backend_pace_t &estimate, std::vector<uint32_t> service,
+unsigned percent_of(const speed_estimate_t &estimate, std::vector<uint32_t> service,
                     uint64_t at = now) {
     auto count = static_cast<unsigned>(service.size());
-    recent_times_t spread = spread_of(0.1);
+    sample_window_t spread = spread_of(0.1);
     return backend_speed_percent(&estimate, backend_speed_typical_us(service.data(), count),
                                  &spread, at);
 }
 
-backend_pace_t merge(const std::vector<backend_pace_t> &estimates, uint64_t at = now) {
-    return backend_pace_join(estimates.data(), static_cast<unsigned>(estimates.size()), at);
+speed_estimate_t merge(const std::vector<speed_estimate_t> &estimates, uint64_t at = now) {
+    return speed_estimate_merge(estimates.data(), static_cast<unsigned>(estimates.size()), at);
 }
 
 TEST(BackendSpeed, SpeedIsTypicalWithTooFewSamples) {
-    backend_pace_t none = {};
+    speed_estimate_t none = {};
     EXPECT_EQ(percent_of(none, {100, 100, 100}), 100U);
     EXPECT_EQ(percent_of(estimate_of({400, 400}), {100, 100, 100}), 100U) << "two samples";
     EXPECT_EQ(percent_of(estimate_of({400, 400, 400, 400}), {100, 100}), 100U) << "two back ends";
@@ -67,12 +67,12 @@
 
 // Guards against a speed derived from the random variation of a few samples.
 TEST(BackendSpeed, InsignificantDifferencesAreIgnored) {
-    recent_times_t wide_spread = spread_of(1);
-    backend_pace_t few_samples = estimate_of({180, 180, 180, 180, 180, 180, 180, 180});
+    sample_window_t wide_spread = spread_of(1);
+    speed_estimate_t few_samples = estimate_of({180, 180, 180, 180, 180, 180, 180, 180});
     EXPECT_EQ(backend_speed_percent(&few_samples, 100, &wide_spread, now), 100U);
-    backend_pace_t many_samples = {180, 90, now};
+    speed_estimate_t many_samples = {180, 90, now};
     EXPECT_EQ(backend_speed_percent(&many_samples, 100, &wide_spread, now), 55U);
-    recent_times_t unknown = {};
+    sample_window_t unknown = {};
     EXPECT_EQ(backend_speed_percent(&few_samples, 100, &unknown, now), 100U);
 }
 
@@ -81,41 +81,42 @@
     std::mt19937 random(2);
     std::exponential_distribution<double> length(1.0 / 1000);
     for (unsigned round = 0; round < 50; round++) {
-        work_slowdown_t slowdown = {};
+        load_slowdown_t slowdown = {};
         for (unsigned i = 0; i < 200; i++) {
             auto work = static_cast<uint32_t>(length(random));
             auto earlier = static_cast<uint32_t>(length(random));
             auto load = static_cast<unsigned>(random() % 6);
-            work_slowdown_note(&slowdown, work, load, earlier, static_cast<unsigned>(random() % 6));
+            load_slowdown_add_pair(&slowdown, work, load, earlier,
+                                   static_cast<unsigned>(random() % 6));
         }
-        EXPECT_GE(work_slowdown_remove(&slowdown, 1000, 5), 650U);
+        EXPECT_GE(load_slowdown_normalize(&slowdown, 1000, 5), 650U);
     }
 }
 
 // Guards against a gateway without enough processor time, whose samples are all far too long.
 TEST(BackendSpeed, OneOutlierAmongGatewaysIsIgnored) {
-    backend_pace_t accurate = estimate_of({100, 100, 100});
-    backend_pace_t outlier = estimate_of({2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000});
-    backend_pace_t merged = merge({accurate, outlier, accurate, accurate});
+    speed_estimate_t accurate = estimate_of({100, 100, 100});
+    speed_estimate_t outlier = estimate_of({2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000, 2000});
+    speed_estimate_t merged = merge({accurate, outlier, accurate, accurate});
     EXPECT_EQ(merged.work_us, 100U);
 }
 
 TEST(BackendSpeed, OldEstimatesExpire) {
-    backend_pace_t slow = estimate_of({250, 250, 250, 250, 250, 250, 250, 250});
+    speed_estimate_t slow = estimate_of({250, 250, 250, 250, 250, 250, 250, 250});
     std::vector<uint32_t> service = {100, 100, 100};
-    backend_pace_t one_half_life = merge({slow}, now + PACE_HALF_LIFE_MS);
-    EXPECT_EQ(percent_of(one_half_life, service, now + PACE_HALF_LIFE_MS), 40U);
-    backend_pace_t two_half_lives = merge({slow}, now + 2 * PACE_HALF_LIFE_MS);
-    EXPECT_EQ(percent_of(two_half_lives, service, now + 2 * PACE_HALF_LIFE_MS), 100U);
-    EXPECT_EQ(merge({slow}, now + PACE_FORGET_MS).samples, 0U);
-    backend_pace_t fresh = estimate_of({100, 100, 100, 100}, now + PACE_HALF_LIFE_MS);
-    EXPECT_EQ(merge({slow, fresh, fresh}, now + PACE_HALF_LIFE_MS).work_us, 100U);
+    speed_estimate_t one_half_life = merge({slow}, now + SPEED_ESTIMATE_HALF_LIFE_MS);
+    EXPECT_EQ(percent_of(one_half_life, service, now + SPEED_ESTIMATE_HALF_LIFE_MS), 40U);
+    speed_estimate_t two_half_lives = merge({slow}, now + 2 * SPEED_ESTIMATE_HALF_LIFE_MS);
+    EXPECT_EQ(percent_of(two_half_lives, service, now + 2 * SPEED_ESTIMATE_HALF_LIFE_MS), 100U);
+    EXPECT_EQ(merge({slow}, now + SPEED_ESTIMATE_EXPIRY_MS).samples, 0U);
+    speed_estimate_t fresh = estimate_of({100, 100, 100, 100}, now + SPEED_ESTIMATE_HALF_LIFE_MS);
+    EXPECT_EQ(merge({slow, fresh, fresh}, now + SPEED_ESTIMATE_HALF_LIFE_MS).work_us, 100U);
 }
 
 // Each concurrent request adds a tenth to the time of a unit of work.
 TEST(BackendSpeed, TheSlowdownByConcurrentCallsIsEstimatedAndRemoved) {
-    work_slowdown_t slowdown = {};
-    EXPECT_EQ(work_slowdown_remove(&slowdown, 3000, 7), 3000U) << "no samples yet";
+    load_slowdown_t slowdown = {};
+    EXPECT_EQ(load_slowdown_normalize(&slowdown, 3000, 7), 3000U) << "no samples yet";
     std::mt19937 random(1);
     auto work = [&random](double alone, unsigned load) {
         std::uniform_real_distribution<double> noise(0.95, 1.05);
@@ -125,11 +126,11 @@
         double alone = i % 3 == 0 ? 7500 : 3000;
         unsigned before = static_cast<unsigned>(random()) % 8;
         unsigned load = static_cast<unsigned>(random()) % 8;
-        work_slowdown_note(&slowdown, work(alone, load), load, work(alone, before), before);
+        load_slowdown_add_pair(&slowdown, work(alone, load), load, work(alone, before), before);
     }
-    EXPECT_NEAR(work_slowdown_remove(&slowdown, 3000, 0), 3000, 1);
-    EXPECT_NEAR(work_slowdown_remove(&slowdown, 4500, 5), 3000, 250);
-    EXPECT_NEAR(work_slowdown_remove(&slowdown, 7500 * 17 / 10, 7), 7500, 900);
+    EXPECT_NEAR(load_slowdown_normalize(&slowdown, 3000, 0), 3000, 1);
+    EXPECT_NEAR(load_slowdown_normalize(&slowdown, 4500, 5), 3000, 250);
+    EXPECT_NEAR(load_slowdown_normalize(&slowdown, 7500 * 17 / 10, 7), 7500, 900);
 }
 
 // Guards against wrong speeds when each gateway has few samples of only some of the engines, with
@@ -147,24 +148,24 @@
             double factor = engine % 3 == 0 ? 1.7 : 0.7;
             double outlier = random() % 12 == 0 ? 5 : 1;
             auto work = static_cast<uint32_t>(3000 * factor * noise(random) * outlier);
-            backend_samples_note(&gateway[engine], work, now);
+            backend_samples_add(&gateway[engine], work, now);
         }
     std::vector<uint32_t> works_us;
-    std::vector<backend_pace_t> merged;
+    std::vector<speed_estimate_t> merged;
     for (unsigned engine = 0; engine < engines; engine++) {
-        std::vector<backend_pace_t> reported;
-        for (unsigned i = 0; i < gateways && reported.size() < BACKEND_TELLERS_MOST; i++)
-            if (seen[i][engine].noted > 0)
-                reported.push_back(backend_samples_pace(&seen[i][engine]));
+        std::vector<speed_estimate_t> reported;
+        for (unsigned i = 0; i < gateways && reported.size() < BACKEND_REPORTERS_MAX; i++)
+            if (seen[i][engine].total_samples > 0)
+                reported.push_back(backend_samples_estimate(&seen[i][engine]));
         merged.push_back(merge(reported));
-        if (backend_pace_known(&merged.back(), now))
+        if (speed_estimate_is_usable(&merged.back(), now))
             works_us.push_back(merged.back().work_us);
     }
     EXPECT_GE(works_us.size(), engines * 9 / 10);
     uint32_t typical =
         backend_speed_typical_us(works_us.data(), static_cast<unsigned>(works_us.size()));
     unsigned wrong = 0;
-    recent_times_t spread = spread_of(0.2);
+    sample_window_t spread = spread_of(0.2);
     for (unsigned engine = 0; engine < engines; engine++) {
         unsigned percent = backend_speed_percent(&merged[engine], typical, &spread, now);
         bool slow = engine % 3 == 0;
@@ -219,8 +220,8 @@
                 load[call.back_end]--;
                 idle[call.gateway][call.back_end]++;
                 auto us = static_cast<uint32_t>(1000 * (call.ends - call.started) / call_ms);
-                backend_samples_note(&samples[call.gateway][call.back_end], us,
-                                     static_cast<uint64_t>(call.ends));
+                backend_samples_add(&samples[call.gateway][call.back_end], us,
+                                    static_cast<uint64_t>(call.ends));
             }
             if (time > exchanged_at + 500) {
                 exchanged_at = time;
@@ -254,19 +255,19 @@
   private:
     void exchange_estimates(const std::vector<std::vector<backend_samples_t>> &samples,
                             uint64_t at) {
-        std::vector<backend_pace_t> merged;
+        std::vector<speed_estimate_t> merged;
         std::vector<uint32_t> works_us;
         for (unsigned i = 0; i < back_ends; i++) {
-            std::vector<backend_pace_t> reported;
+            std::vector<speed_estimate_t> reported;
             for (unsigned j = 0; j < gateways; j++)
-                reported.push_back(backend_samples_pace(&samples[j][i]));
+                reported.push_back(backend_samples_estimate(&samples[j][i]));
             merged.push_back(merge(reported, at));
-            if (backend_pace_known(&merged.back(), at))
+            if (speed_estimate_is_usable(&merged.back(), at))
                 works_us.push_back(merged.back().work_us);
         }
         uint32_t typical =
             backend_speed_typical_us(works_us.data(), static_cast<unsigned>(works_us.size()));
-        recent_times_t spread = spread_of(0.2);
+        sample_window_t spread = spread_of(0.2);
         for (unsigned i = 0; i < back_ends; i++)
             percents[i] = backend_speed_percent(&merged[i], typical, &spread, at);
     }
@@ -279,7 +280,7 @@
             candidate.load = load[i];
             candidate.slots = slots;
             candidate.connected = idle[i] > 0;
-            candidate.near = true;
+            candidate.local = true;
             candidate.speed_percent = by_speed ? std::max(1U, percents[i]) : 0;
             candidate.answer_ms = by_speed ? static_cast<unsigned>(call_ms) : 0;
             candidates.push_back(candidate);
--- a/tests/unit/engine_choice_test.cc
+++ b/tests/unit/engine_choice_test.cc
@@ -107,10 +107,10 @@
 
 TEST_F(EngineChoice, AnotherZoneIsUsedOnlyWithoutEnginesInTheLocalZone) {
     make(4);
-    engine(1).near = engine(2).near = false;
+    engine(1).local = engine(2).local = false;
     for (uint64_t part = 1; part <= 20; part++)
         EXPECT_GE(choose(0, part), 3u);
-    engine(3).near = engine(4).near = false;
+    engine(3).local = engine(4).local = false;
     EXPECT_NE(choose(0, 7), 0u);
 }
 
--- a/tests/unit/engine_load_test.cc
+++ b/tests/unit/engine_load_test.cc
@@ -47,7 +47,7 @@
             backend_release(backend);
         return backend;
     }
-    const engine_usual_t *usual() {
+    const engine_baseline_t *usual() {
         auto *members = g_hash_table_lookup(backends.by_service, "models");
         return &static_cast<service_members_t *>(members)->usual;
     }
@@ -91,11 +91,11 @@
     for (unsigned i = 0; i < 9; i++)
         find(("near-" + std::to_string(i)).c_str())->elsewhere = SLOTS - 1;
     for (unsigned i = 0; i < 500; i++)
-        EXPECT_TRUE(choose()->near);
+        EXPECT_TRUE(choose()->local);
     for (unsigned i = 0; i < 9; i++)
         find(("near-" + std::to_string(i)).c_str())->elsewhere = 2 * SLOTS;
     for (unsigned i = 0; i < 500; i++)
-        EXPECT_FALSE(choose()->near);
+        EXPECT_FALSE(choose()->local);
 }
 
 TEST_F(ObservedEngines, AnEngineThatRefusedACallGetsNoNewPrograms) {
@@ -119,7 +119,7 @@
     EXPECT_NE(choose(full->id_hash, true), nullptr);
     add("i-1", "here", 6);
     full->elsewhere = 2;
-    EXPECT_FALSE(engine_load_state(full, usual(), 0).turns_away) << "it has restarted";
+    EXPECT_FALSE(engine_load_state(full, usual(), 0).refusing) << "it has restarted";
 }
 
 TEST_F(ObservedEngines, ObservationsSurviveARecordWithTheShortStartTime) {
@@ -129,9 +129,9 @@
     backend_take(full);
     engine_load_note_refused(full, 0);
     backend_release(full);
-    ASSERT_TRUE(engine_load_state(full, usual(), 0).turns_away);
+    ASSERT_TRUE(engine_load_state(full, usual(), 0).refusing);
     add("i-1", "here", backend_record_life(full->record));
-    EXPECT_TRUE(engine_load_state(full, usual(), 0).turns_away);
+    EXPECT_TRUE(engine_load_state(full, usual(), 0).refusing);
     EXPECT_GT(engine_limit_queue(&full->limit, backend_record_life(full->record), SLOTS), 0U);
 }
 
@@ -157,7 +157,7 @@
     clock_t begin = clock();
     unsigned remote = 0;
     for (unsigned i = 0; i < 200; i++)
-        remote += !choose()->near;
+        remote += !choose()->local;
     clock_t by_cost = clock() - begin;
     begin = clock();
     for (unsigned i = 0; i < 200; i++) {
--- a/tests/unit/engine_placement_test.cc
+++ b/tests/unit/engine_placement_test.cc
@@ -18,7 +18,7 @@
 #include "core/routing/engine_choice.h"
 #include "core/routing/engine_limit.h"
 #include "core/routing/engine_placement.h"
-#include "core/routing/engine_usual.h"
+#include "core/routing/engine_baseline.h"
 }
 
 namespace {
@@ -161,14 +161,14 @@
         std::vector<engine_candidate_t> local_candidates;
         std::vector<unsigned> index;
         for (unsigned i = 0; i < ENGINES; i++)
-            if (candidates[i].near || candidates[i].id == program.place) {
+            if (candidates[i].local || candidates[i].id == program.place) {
                 local_candidates.push_back(candidates[i]);
                 index.push_back(i);
             }
         if (engine_choose(local_candidates.data(), static_cast<unsigned>(local_candidates.size()),
                           &request, chosen)) {
             const engine_candidate_t &engine = local_candidates[*chosen];
-            bool suffices = engine.id == program.place ? !engine_crowded(&engine) : engine.near;
+            bool suffices = engine.id == program.place ? !engine_overloaded(&engine) : engine.local;
             *chosen = index[*chosen];
             if (suffices)
                 return true;
@@ -182,8 +182,8 @@
         unsigned queue = engine_limit_queue(limit, 1, SLOTS);
         auto at = static_cast<uint64_t>(now);
         return {i + 1,
-                {load, SLOTS, queue > 0 ? queue : engine_usual_queue(&baselines[gateway], SLOTS),
-                 percent(i), engine_limit_turns_away(limit, 1, load, at)},
+                {load, SLOTS, queue > 0 ? queue : engine_baseline_queue(&baselines[gateway], SLOTS),
+                 percent(i), engine_limit_is_refusing(limit, 1, load, at)},
                 i % ZONES == gateway % ZONES,
                 down[i],
                 down[i]};
@@ -198,13 +198,13 @@
                         TOKENS_PER_MS};
         request.begun = program.turns_left < TURNS;
         request.wants_free_ms = true;
-        request.draw = random();
+        request.random_bits = random();
         for (unsigned i = 0; i < ENGINES; i++)
             if (i % ZONES == gateway % ZONES || i + 1 == program.place)
                 options.push_back(option(gateway, i));
         placement_t placement =
             engine_place(options.data(), static_cast<unsigned>(options.size()), &request);
-        if (placement.outcome != PLACEMENT_FOUND || placement.look_far) {
+        if (placement.outcome != PLACEMENT_FOUND || placement.try_remote) {
             for (unsigned i = 0; i < ENGINES; i++)
                 if (i % ZONES != gateway % ZONES && i + 1 != program.place)
                     options.push_back(option(gateway, i));
@@ -258,9 +258,9 @@
         } else {
             own_loads[gateway][engine]--;
             results.refused++;
-            engine_limit_note_refused(&limits[gateway][engine], 1, turn.known_load, SLOTS,
-                                      static_cast<uint64_t>(now));
-            engine_usual_note_refused(&baselines[gateway], turn.known_load, SLOTS);
+            engine_limit_record_refused(&limits[gateway][engine], 1, turn.known_load, SLOTS,
+                                        static_cast<uint64_t>(now));
+            engine_baseline_record_refused(&baselines[gateway], turn.known_load, SLOTS);
             double free_ms = 0;
             if (policy == Policy::BY_COST) {
                 program->place = 0;
@@ -284,8 +284,8 @@
         reading_until[engine] = std::max(now, reading_until[engine]) + read_ms;
         double first_event_ms = reading_until[engine] - now;
         results.first_ms.push_back(reading_until[engine] - turn.submitted_at);
-        engine_limit_note_taken(&limits[turn.gateway][engine], 1, turn.known_load);
-        engine_usual_note_taken(&baselines[turn.gateway], turn.known_load, SLOTS);
+        engine_limit_record_accepted(&limits[turn.gateway][engine], 1, turn.known_load);
+        engine_baseline_record_accepted(&baselines[turn.gateway], turn.known_load, SLOTS);
         program->place = engine + 1;
         schedule(first_event_ms + TURN_MS * 100 / percent(engine), [this, turn] { finish(turn); });
     }
@@ -318,7 +318,7 @@
     std::deque<Loads> history;
     std::vector<std::vector<engine_limit_t>> limits =
         std::vector<std::vector<engine_limit_t>>(GATEWAYS, std::vector<engine_limit_t>(ENGINES));
-    engine_usual_t baselines[GATEWAYS] = {};
+    engine_baseline_t baselines[GATEWAYS] = {};
     unsigned running[ENGINES] = {};
     std::deque<Turn> waiting[ENGINES];
     double reading_until[ENGINES] = {};
@@ -424,15 +424,15 @@
 
 // Single decisions.
 
-constexpr engine_turn_t TURN = {2400, 400, 500, 60, 100};
+constexpr turn_profile_t TURN = {2400, 400, 500, 60, 100};
 
 engine_option_t idle(uint64_t id) {
     return {id, {0, SLOTS, QUEUE, 100, false}, true, false, false};
 }
 
 placement_t place(const std::vector<engine_option_t> &options, uint64_t at, bool begun,
-                  uint64_t draw) {
-    placement_request_t request = {at, 7, TURN, begun, true, draw};
+                  uint64_t random_bits) {
+    placement_request_t request = {at, 7, TURN, begun, true, random_bits};
     return engine_place(options.data(), static_cast<unsigned>(options.size()), &request);
 }
 
@@ -447,12 +447,12 @@
 TEST(EnginePlacement, AProgramStaysUnlessAMoveSavesMoreThanATurn) {
     std::vector<engine_option_t> options = {idle(1), idle(2)};
     options[0].state.load = SLOTS + 2;
-    for (uint64_t draw = 0; draw < 1000; draw++)
-        EXPECT_EQ(place(options, 1, true, draw << 6).chosen, 0U);
+    for (uint64_t random_bits = 0; random_bits < 1000; random_bits++)
+        EXPECT_EQ(place(options, 1, true, random_bits << 6).chosen, 0U);
     options[0].state.load = SLOTS + QUEUE - 1;
     unsigned left = 0;
-    for (uint64_t draw = 0; draw < 1000; draw++)
-        left += place(options, 1, true, draw * 65).chosen == 1;
+    for (uint64_t random_bits = 0; random_bits < 1000; random_bits++)
+        left += place(options, 1, true, random_bits * 65).chosen == 1;
     EXPECT_GT(left, 200U) << "the share that equalizes the costs leaves";
     EXPECT_LT(left, 500U);
 }
@@ -461,27 +461,27 @@
     std::vector<engine_option_t> options = {idle(1), idle(2)};
     options[0].state.speed_percent = 20;
     unsigned left = 0;
-    for (uint64_t draw = 0; draw < 1000; draw++)
-        left += place(options, 1, true, draw * 65).chosen == 1;
+    for (uint64_t random_bits = 0; random_bits < 1000; random_bits++)
+        left += place(options, 1, true, random_bits * 65).chosen == 1;
     EXPECT_GT(left, 200U);
 }
 
 TEST(EnginePlacement, AnEngineThatRefusedACallGetsNoTurnsUntilItsLoadHasFallen) {
     std::vector<engine_option_t> options = {idle(1), idle(2)};
-    options[0].state.turns_away = true;
-    for (uint64_t draw = 0; draw < 1000; draw++) {
-        EXPECT_EQ(place(options, 0, false, draw * 65537).chosen, 1U);
-        EXPECT_EQ(place(options, 1, true, draw * 65537).chosen, 1U);
+    options[0].state.refusing = true;
+    for (uint64_t random_bits = 0; random_bits < 1000; random_bits++) {
+        EXPECT_EQ(place(options, 0, false, random_bits * 65537).chosen, 1U);
+        EXPECT_EQ(place(options, 1, true, random_bits * 65537).chosen, 1U);
     }
     engine_limit_t limit = {};
-    engine_limit_note_refused(&limit, 5, 14, SLOTS, 1000);
-    EXPECT_TRUE(engine_limit_turns_away(&limit, 5, 14, 1001));
-    EXPECT_FALSE(engine_limit_turns_away(&limit, 5, 13, 1001)) << "its load has fallen";
-    EXPECT_FALSE(engine_limit_turns_away(&limit, 5, 14, 2000)) << "the refusal has expired";
-    EXPECT_FALSE(engine_limit_turns_away(&limit, 6, 14, 1001)) << "another incarnation";
+    engine_limit_record_refused(&limit, 5, 14, SLOTS, 1000);
+    EXPECT_TRUE(engine_limit_is_refusing(&limit, 5, 14, 1001));
+    EXPECT_FALSE(engine_limit_is_refusing(&limit, 5, 13, 1001)) << "its load has fallen";
+    EXPECT_FALSE(engine_limit_is_refusing(&limit, 5, 14, 2000)) << "the refusal has expired";
+    EXPECT_FALSE(engine_limit_is_refusing(&limit, 6, 14, 1001)) << "another incarnation";
     EXPECT_EQ(engine_limit_queue(&limit, 5, SLOTS), 14 - SLOTS);
     EXPECT_EQ(engine_limit_queue(&limit, 6, SLOTS), 0U) << "another incarnation";
-    engine_limit_note_taken(&limit, 5, 20);
+    engine_limit_record_accepted(&limit, 5, 20);
     EXPECT_EQ(engine_limit_queue(&limit, 5, SLOTS), 21 - SLOTS);
 }
 
@@ -511,25 +511,26 @@
 
 TEST(EnginePlacement, ARemoteEngineIsUsedOnlyIfAllLocalOnesCostMore) {
     std::vector<engine_option_t> options = {idle(1), idle(2), idle(3)};
-    options[2].near = false;
+    options[2].local = false;
     options[0].state.load = SLOTS + QUEUE - 1;
-    for (uint64_t draw = 0; draw < 1000; draw++)
-        EXPECT_LT(place(options, 0, false, draw * 65537).chosen, 2U) << "a local engine is idle";
+    for (uint64_t random_bits = 0; random_bits < 1000; random_bits++)
+        EXPECT_LT(place(options, 0, false, random_bits * 65537).chosen, 2U)
+            << "a local engine is idle";
     options[1].state.load = SLOTS + 2;
     EXPECT_EQ(place(options, 0, false, 0).chosen, 2U);
 }
 
 TEST(EngineBaseline, OutliersDoNotChangeTheMedian) {
-    engine_usual_t baseline = {};
-    EXPECT_EQ(engine_usual_turn_ms(&baseline), 100);
+    engine_baseline_t baseline = {};
+    EXPECT_EQ(engine_baseline_turn_ms(&baseline), 100);
     for (unsigned i = 0; i < 200; i++)
-        engine_usual_note_turn(&baseline, i % 10 == 0 ? 15000 : 58 + i % 5, 100);
-    EXPECT_NEAR(engine_usual_turn_ms(&baseline), 60, 12);
+        engine_baseline_record_turn(&baseline, i % 10 == 0 ? 15000 : 58 + i % 5, 100);
+    EXPECT_NEAR(engine_baseline_turn_ms(&baseline), 60, 12);
     for (unsigned i = 0; i < 200; i++) {
-        engine_usual_note_first(&baseline, 20, 0, 100);
-        engine_usual_note_first(&baseline, 20 + 2000 / 50, 2000, 100);
+        engine_baseline_record_first_event_time(&baseline, 20, 0, 100);
+        engine_baseline_record_first_event_time(&baseline, 20 + 2000 / 50, 2000, 100);
     }
-    EXPECT_NEAR(engine_usual_tokens_per_ms(&baseline), 50, 8);
+    EXPECT_NEAR(engine_baseline_tokens_per_ms(&baseline), 50, 8);
 }
 
 } // namespace
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -338,15 +338,15 @@
     ejection_t ejection = {};
     uint64_t now = 10000;
     for (uint64_t out : {500, 1000, 2000, 4000, 4000}) {
-        ejection_note_reset(&ejection, now);
-        ejection_note_reset(&ejection, now + 10); // Another call in progress.
-        EXPECT_TRUE(ejection_is_out(&ejection, now + out));
-        EXPECT_FALSE(ejection_is_out(&ejection, now + out + 11));
+        ejection_record_reset(&ejection, now);
+        ejection_record_reset(&ejection, now + 10); // Another call in progress.
+        EXPECT_TRUE(ejection_is_active(&ejection, now + out));
+        EXPECT_FALSE(ejection_is_active(&ejection, now + out + 11));
         now += out + 100;
     }
     now += 10000; // A later outage starts over.
-    ejection_note_reset(&ejection, now);
-    EXPECT_FALSE(ejection_is_out(&ejection, now + 501));
+    ejection_record_reset(&ejection, now);
+    EXPECT_FALSE(ejection_is_active(&ejection, now + 501));
 }
 
 TEST_F(Backends, EjectsABackEndReportedDownByTwoGateways) {
@@ -357,13 +357,14 @@
     backend_t *down = last;
     release();
     uint64_t now = uv_now(&loop);
-    ejection_note_told(&down->ejection, now + 300, now);
+    ejection_add_report(&down->ejection, now + 300, now);
     EXPECT_EQ(choose(), "a") << "one gateway may have a bad link";
     release();
-    ejection_note_told(&down->ejection, now + 300, now);
+    ejection_add_report(&down->ejection, now + 300, now);
     EXPECT_NE(choose(), "a");
-    EXPECT_EQ(ejection_tell_ms(&down->ejection, now), 0U) << "reports of others are not forwarded";
-    ejection_forget_told(&down->ejection);
+    EXPECT_EQ(ejection_remaining_ms(&down->ejection, now), 0U)
+        << "reports of others are not forwarded";
+    ejection_clear_reports(&down->ejection);
     release();
     EXPECT_EQ(choose(), "a");
 }
--- a/tests/unit/routing_test.cc
+++ b/tests/unit/routing_test.cc
@@ -59,7 +59,7 @@
 };
 
 TEST_F(Routing, PrefersTheCachedPrefixUnlessTheEngineIsBusy) {
-    prefix_note_sent(backend_set_find(set, "e2"), &prefix);
+    prefix_record_sent(backend_set_find(set, "e2"), &prefix);
     for (int i = 0; i < 5; i++)
         EXPECT_STREQ(choose(), "e2");
     load_report_t busy = {};
@@ -70,7 +70,7 @@
 }
 
 TEST_F(Routing, LeavingBackendGetsNoCallsAndStaysLeaving) {
-    prefix_note_sent(backend_set_find(set, "e2"), &prefix);
+    prefix_record_sent(backend_set_find(set, "e2"), &prefix);
     auto *record = static_cast<backend_record_t *>(g_ptr_array_index(records, 1));
     record->leaving = true;
     backend_set_update(set, records, ignore_change, nullptr);
@@ -89,7 +89,7 @@
 }
 
 TEST_F(Routing, UnreachableBackendIsEjectedTemporarily) {
-    prefix_note_sent(backend_set_find(set, "e2"), &prefix);
+    prefix_record_sent(backend_set_find(set, "e2"), &prefix);
     backend_t *backend = backend_set_find(set, "e2");
     for (int i = 0; i < 3; i++) {
         backend_call_started(backend);
@@ -100,7 +100,7 @@
 }
 
 TEST_F(Routing, RetryAvoidsTheBackendThatFailed) {
-    prefix_note_sent(backend_set_find(set, "e2"), &prefix);
+    prefix_record_sent(backend_set_find(set, "e2"), &prefix);
     EXPECT_STRNE(choose("e2"), "e2");
 }
 
--- a/tests/unit/service_choice_test.cc
+++ b/tests/unit/service_choice_test.cc
@@ -39,8 +39,8 @@
     candidates[2].load = 2;
     EXPECT_NE(choose(candidates), 2U) << "its load costs more than a new connection";
     for (auto &candidate : candidates)
-        candidate.near = false;
-    candidates[0].near = true;
+        candidate.local = false;
+    candidates[0].local = true;
     EXPECT_EQ(choose(candidates), 0U);
     candidates[0].load = 6;
     EXPECT_NE(choose(candidates), 0U) << "its slots are occupied";
@@ -73,7 +73,7 @@
 std::vector<service_candidate_t> make_zones(unsigned local_count, unsigned remote) {
     auto candidates = make(local_count + remote);
     for (unsigned i = 0; i < local_count + remote; i++) {
-        candidates[i].near = i < local_count;
+        candidates[i].local = i < local_count;
         candidates[i].speed_percent = 100;
         candidates[i].answer_ms = 50;
     }
@@ -100,7 +100,7 @@
         service_candidate_t measured = {1, load, 6, false, true, false, 100, 50};
         service_candidate_t other = {1, load, 6, false, true, false, 0, 0};
         EXPECT_EQ(service_cost(&measured), service_cost(&other));
-        other.near = false;
+        other.local = false;
         other.connected = true;
         EXPECT_EQ(
             service_cost(&other),
@@ -114,14 +114,14 @@
     for (unsigned i = 0; i < calls; i++) {
         std::vector<service_candidate_t> local_candidates;
         for (const auto &candidate : candidates)
-            if (candidate.near)
+            if (candidate.local)
                 local_candidates.push_back(candidate);
         unsigned chosen = choose(local_candidates);
-        if (!service_stays_near(&local_candidates[chosen]))
+        if (!service_stays_local(&local_candidates[chosen]))
             chosen = choose(candidates);
         candidates[chosen].load++;
         candidates[chosen].connected = true;
-        remote += candidates[chosen].near ? 0 : 1;
+        remote += candidates[chosen].local ? 0 : 1;
     }
     return remote;
 }
