--- a/src/cluster/key_value_watch.c
+++ b/src/cluster/key_value_watch.c
@@ -9,7 +9,7 @@
  */
 #include "cluster/key_value_watch.h"
 
-#include "core/configuration/watch_duty.h"
+#include "core/configuration/watch_role.h"
 #include "net/http_client.h"
 
 #include <string.h>
@@ -19,7 +19,7 @@
     WATCH_EXTRA_MS = 900,  /**< For a watch, beyond the time it waits. */
     LISTED_PAUSE_MS = 900, /**< After a listing, before the first watch: other nodes start, too. */
     GATHER_FIRST_MS = 200, /**< After a change, before the next watch: changes come in bursts. Up
-                              to WATCH_GATHER_MOST_MS while each watch sees a change at once. */
+                              to WATCH_PAUSE_MAX_MS while each watch sees a change at once. */
     CALM_MS = 1500,        /**< A watch that waited so long ends a burst. */
     FULL_EVENTS = 200,     /**< An answer with so many changes has more behind it. */
     PAUSE_FIRST_MS = 100,
@@ -150,7 +150,7 @@
 /** Pause after a watch that saw a change; grows while changes keep coming. */
 static uint64_t next_gather_pause(key_value_watch_t *watch) {
     bool calm = uv_now(watch->loop) - watch->begun_at >= CALM_MS;
-    uint64_t longer = MIN(2 * watch->gather_ms, (uint64_t)WATCH_GATHER_MOST_MS);
+    uint64_t longer = MIN(2 * watch->gather_ms, (uint64_t)WATCH_PAUSE_MAX_MS);
     watch->gather_ms = calm ? GATHER_FIRST_MS : MAX(longer, GATHER_FIRST_MS);
     return watch->gather_ms;
 }
--- a/src/core/configuration/watch_duty.c
+++ b/src/core/configuration/watch_role.c
@@ -1,4 +1,4 @@
-#include "core/configuration/watch_duty.h"
+#include "core/configuration/watch_role.h"
 
 #include <limits.h>
 
@@ -15,10 +15,10 @@
     return (uint32_t)(now - answered_at);
 }
 
-bool watch_duty_in_order(const watch_report_t *report, uint64_t renewing_period_ms, uint64_t now) {
+bool watch_report_healthy(const watch_report_t *report, uint64_t renewing_period_ms, uint64_t now) {
     if (report->answer_age == UINT32_MAX)
         return false;
-    uint64_t bound = WATCH_WAIT_RENEWING_MS + WATCH_ANSWER_MS + 2 * renewing_period_ms;
+    uint64_t bound = WATCH_WAIT_RENEWING_MS + WATCH_RESPONSE_TIMEOUT_MS + 2 * renewing_period_ms;
     return now <= report->last_received_at - report->answer_age + bound;
 }
 
@@ -61,7 +61,7 @@
                                           uint64_t renewing_period_ms, uint64_t now) {
     watches_before_t before = {.first_rank = UINT_MAX};
     for (unsigned i = 0; i < count; i++) {
-        if (!watch_duty_in_order(&reports[i], renewing_period_ms, now))
+        if (!watch_report_healthy(&reports[i], renewing_period_ms, now))
             continue;
         before.others += reports[i].renews;
         if (!reports[i].before)
@@ -80,26 +80,27 @@
 /** True if this process must start renewing because no renewing process was answered recently. */
 static bool responses_overdue(const watches_before_t *before, uint64_t renewing_period_ms,
                               uint64_t now) {
-    uint64_t overdue_ms = WATCH_TURN_MS + WATCH_QUIET_MS + 2 * renewing_period_ms;
-    return before->renewing < (unsigned)WATCH_PROBING && now > before->latest_answer + overdue_ms;
+    uint64_t overdue_ms = WATCH_STAGGER_MS + WATCH_OVERDUE_MS + 2 * renewing_period_ms;
+    return before->renewing < (unsigned)WATCH_FREQUENT_RETRIERS &&
+           now > before->latest_answer + overdue_ms;
 }
 
 /**
- * Wait that ends in this process's slot of the cycle. Slots are WATCH_TURN_MS apart, one for each
- * renewing process in order of address. The first slot starts at the latest response to the
+ * Wait that ends in this process's slot of the cycle. Slots are WATCH_STAGGER_MS apart, one for
+ * each renewing process in order of address. The first slot starts at the latest response to the
  * first process.
  */
 static uint32_t staggered_wait_ms(const watches_before_t *before, uint64_t now) {
     unsigned renewing = before->others + 1 < WATCH_RENEWING ? before->others + 1 : WATCH_RENEWING;
-    const uint64_t cycle = (uint64_t)WATCH_TURN_MS * renewing;
+    const uint64_t cycle = (uint64_t)WATCH_STAGGER_MS * renewing;
     if (before->renewing == 0)
         return (uint32_t)cycle;
-    uint64_t turn = before->first_answer + (uint64_t)before->renewing * WATCH_TURN_MS;
+    uint64_t turn = before->first_answer + (uint64_t)before->renewing * WATCH_STAGGER_MS;
     uint64_t wait = cycle - (now + cycle - turn % cycle) % cycle;
-    return (uint32_t)(wait < WATCH_WAIT_LEAST_MS ? wait + cycle : wait);
+    return (uint32_t)(wait < WATCH_WAIT_MIN_MS ? wait + cycle : wait);
 }
 
-watch_decision_t watch_duty_decide(watch_state_t *own, const watch_report_t *reports,
+watch_decision_t watch_role_decide(watch_state_t *own, const watch_report_t *reports,
                                    unsigned count, uint64_t report_period_ms,
                                    uint64_t renewing_period_ms, uint64_t now) {
     watches_before_t before = summarize_watches(reports, count, renewing_period_ms, now);
@@ -109,20 +110,20 @@
     bool rests = own->below ? live >= WATCH_RENEWING : enough;
     update_behind_since(own, reports, count, now);
     /* A watch renewed without success gets a longer timeout: the service may be unreachable. */
-    bool renewed = own->begun_at > own->behind_since;
-    uint64_t lag_ms = renewed ? WATCH_TRIAL_MS : WATCH_LAG_MS;
-    bool behind = own->behind_since > 0 && now >= own->behind_since + WATCH_LAG_MS &&
-                  now >= own->begun_at + lag_ms;
+    bool renewed = own->started_at > own->behind_since;
+    uint64_t lag_ms = renewed ? WATCH_RENEWED_LAG_MAX_MS : WATCH_LAG_MAX_MS;
+    bool behind = own->behind_since > 0 && now >= own->behind_since + WATCH_LAG_MAX_MS &&
+                  now >= own->started_at + lag_ms;
     /* A watch within its timeout is about to be answered. Cancelling it would cost a call and make
        this process's watch look unhealthy to others. */
-    uint64_t answer_due_ms = WATCH_WAIT_RENEWING_MS + WATCH_ANSWER_MS;
+    uint64_t answer_due_ms = WATCH_WAIT_RENEWING_MS + WATCH_RESPONSE_TIMEOUT_MS;
     bool due =
-        !rests && now >= own->begun_at + answer_due_ms && now >= own->answered_at + answer_due_ms;
+        !rests && now >= own->started_at + answer_due_ms && now >= own->answered_at + answer_due_ms;
     return (watch_decision_t){
-        .on_duty = !rests,
+        .renewing = !rests,
         .wait_ms = rests ? WATCH_WAIT_RESTING_MS : staggered_wait_ms(&before, now),
         .renew = behind || due,
         .first = live < WATCH_RENEWING,
-        .patient = own->below || live >= WATCH_PROBING,
+        .slow_retry = own->below || live >= WATCH_FREQUENT_RETRIERS,
     };
 }
--- a/src/core/quorum/copy_claims.c
+++ b/src/core/quorum/fetch_plan.c
@@ -1,4 +1,4 @@
-#include "core/quorum/copy_claims.h"
+#include "core/quorum/fetch_plan.h"
 
 #include <stdbool.h>
 
@@ -17,10 +17,10 @@
     unsigned missing; /**< Listed records that have not arrived yet. */
 } source_t;
 
-struct copy_claims {
+struct fetch_plan {
     GHashTable *records; /**< Id to fetch_record_t; owns the values. */
     unsigned count;
-    source_t sources[COPY_SOURCES_MAXIMUM];
+    source_t sources[FETCH_SOURCES_MAX];
     uint64_t examined;
 };
 
@@ -30,16 +30,16 @@
     g_free(record);
 }
 
-copy_claims_t *copy_claims_new(unsigned sources) {
-    copy_claims_t *plan = g_new0(copy_claims_t, 1);
+fetch_plan_t *fetch_plan_new(unsigned sources) {
+    fetch_plan_t *plan = g_new0(fetch_plan_t, 1);
     plan->records = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_record);
-    plan->count = MIN(sources, (unsigned)COPY_SOURCES_MAXIMUM);
+    plan->count = MIN(sources, (unsigned)FETCH_SOURCES_MAX);
     for (unsigned i = 0; i < plan->count; i++)
         plan->sources[i].queue = g_queue_new();
     return plan;
 }
 
-void copy_claims_free(copy_claims_t *plan) {
+void fetch_plan_free(fetch_plan_t *plan) {
     for (unsigned i = 0; i < plan->count; i++)
         g_queue_free(plan->sources[i].queue);
     g_hash_table_destroy(plan->records);
@@ -50,7 +50,7 @@
     return (record->holders >> source & 1) != 0;
 }
 
-static fetch_record_t *obtain_record(copy_claims_t *plan, const char *id) {
+static fetch_record_t *obtain_record(fetch_plan_t *plan, const char *id) {
     fetch_record_t *record = g_hash_table_lookup(plan->records, id);
     if (record != NULL)
         return record;
@@ -61,7 +61,7 @@
     return record;
 }
 
-void copy_claims_add(copy_claims_t *plan, unsigned source, const char *id) {
+void fetch_plan_add(fetch_plan_t *plan, unsigned source, const char *id) {
     fetch_record_t *record = obtain_record(plan, id);
     plan->examined++;
     if (record->arrived || has_holder(record, source))
@@ -71,7 +71,7 @@
     g_queue_push_tail(plan->sources[source].queue, record);
 }
 
-const char *copy_claims_take(copy_claims_t *plan, unsigned source) {
+const char *fetch_plan_next(fetch_plan_t *plan, unsigned source) {
     GQueue *queue = plan->sources[source].queue;
     while (!g_queue_is_empty(queue)) {
         fetch_record_t *record = g_queue_pop_head(queue);
@@ -84,7 +84,7 @@
     return NULL;
 }
 
-void copy_claims_arrived(copy_claims_t *plan, const char *id) {
+void fetch_plan_arrived(fetch_plan_t *plan, const char *id) {
     fetch_record_t *record = g_hash_table_lookup(plan->records, id);
     if (record == NULL || record->arrived)
         return;
@@ -94,7 +94,7 @@
 }
 
 /** Removes the source from the holders of a record that has not arrived. */
-static void drop_holder(copy_claims_t *plan, fetch_record_t *record, unsigned source) {
+static void drop_holder(fetch_plan_t *plan, fetch_record_t *record, unsigned source) {
     if (record->arrived || !has_holder(record, source))
         return;
     record->holders &= ~((uint64_t)1 << source);
@@ -102,14 +102,14 @@
 }
 
 /** Makes a record available to all its holders again. */
-static void requeue(copy_claims_t *plan, fetch_record_t *record) {
+static void requeue(fetch_plan_t *plan, fetch_record_t *record) {
     record->requested_from = NO_SOURCE;
     for (unsigned i = 0; i < plan->count && !record->arrived; i++)
         if (has_holder(record, i))
             g_queue_push_tail(plan->sources[i].queue, record);
 }
 
-void copy_claims_lacks(copy_claims_t *plan, unsigned source, const char *id) {
+void fetch_plan_not_found(fetch_plan_t *plan, unsigned source, const char *id) {
     fetch_record_t *record = g_hash_table_lookup(plan->records, id);
     if (record == NULL)
         return;
@@ -118,7 +118,7 @@
         requeue(plan, record);
 }
 
-void copy_claims_reset(copy_claims_t *plan, unsigned source) {
+void fetch_plan_reset(fetch_plan_t *plan, unsigned source) {
     g_queue_clear(plan->sources[source].queue);
     GHashTableIter iterator;
     gpointer value;
@@ -132,10 +132,10 @@
     }
 }
 
-unsigned copy_claims_left(const copy_claims_t *plan, unsigned source) {
+unsigned fetch_plan_missing(const fetch_plan_t *plan, unsigned source) {
     return plan->sources[source].missing;
 }
 
-uint64_t copy_claims_looks(const copy_claims_t *plan) {
+uint64_t fetch_plan_examined(const fetch_plan_t *plan) {
     return plan->examined;
 }
--- a/src/core/quorum/copy_claims.h
+++ b/src/core/quorum/fetch_plan.h
@@ -1,5 +1,5 @@
 /**
- * @file copy_claims.h
+ * @file fetch_plan.h
  * Assigns records to sources while a replica catches up. Each source lists the records that it
  * holds and the replica lacks. A record that several sources hold is requested from only one of
  * them, whichever is next able to take a request; the copy from a source is complete once every
@@ -11,36 +11,36 @@
  *
  * Decision code: no I/O, clock or thread.
  */
-#ifndef RUDDERWAY_CORE_QUORUM_COPY_CLAIMS_H
-#define RUDDERWAY_CORE_QUORUM_COPY_CLAIMS_H
+#ifndef RUDDERWAY_CORE_QUORUM_FETCH_PLAN_H
+#define RUDDERWAY_CORE_QUORUM_FETCH_PLAN_H
 
 #include <glib.h>
 #include <stdint.h>
 
-enum { COPY_SOURCES_MAXIMUM = 64 };
+enum { FETCH_SOURCES_MAX = 64 };
 
-typedef struct copy_claims copy_claims_t;
+typedef struct fetch_plan fetch_plan_t;
 
 /** Sources are identified by index, from 0 to @p sources - 1. */
-copy_claims_t *copy_claims_new(unsigned sources);
-void copy_claims_free(copy_claims_t *plan);
+fetch_plan_t *fetch_plan_new(unsigned sources);
+void fetch_plan_free(fetch_plan_t *plan);
 
 /** Records that the source holds record @p id, which the replica lacks. */
-void copy_claims_add(copy_claims_t *plan, unsigned source, const char *id);
+void fetch_plan_add(fetch_plan_t *plan, unsigned source, const char *id);
 /**
  * The next record to request from @p source: one that it holds, has not arrived and is not
  * requested yet; NULL if there is none. The string is valid as long as @p plan.
  */
-const char *copy_claims_take(copy_claims_t *plan, unsigned source);
+const char *fetch_plan_next(fetch_plan_t *plan, unsigned source);
 /** Marks the record as stored on this replica. */
-void copy_claims_arrived(copy_claims_t *plan, const char *id);
+void fetch_plan_arrived(fetch_plan_t *plan, const char *id);
 /** The source was asked for the record and no longer has it. */
-void copy_claims_lacks(copy_claims_t *plan, unsigned source, const char *id);
+void fetch_plan_not_found(fetch_plan_t *plan, unsigned source, const char *id);
 /** Discards what the source listed; records requested from it may be requested from others. */
-void copy_claims_reset(copy_claims_t *plan, unsigned source);
+void fetch_plan_reset(fetch_plan_t *plan, unsigned source);
 /** Number of records that the source listed and that have not arrived yet. */
-unsigned copy_claims_left(const copy_claims_t *plan, unsigned source);
+unsigned fetch_plan_missing(const fetch_plan_t *plan, unsigned source);
 /** Number of records examined so far, as a measure of the work done. */
-uint64_t copy_claims_looks(const copy_claims_t *plan);
+uint64_t fetch_plan_examined(const fetch_plan_t *plan);
 
 #endif
--- a/src/core/quorum/store_group.c
+++ b/src/core/quorum/store_group.c
@@ -104,14 +104,14 @@
         return (store_catch_up_t){
             .sources = group->previous,
             .needed = store_read_quorum(group->previous->len) - 1,
-            .source_complete_in = complete_in,
+            .min_source_generation = complete_in,
         };
     }
     /* What this member acknowledged is also on write_quorum - 1 other members. */
     return (store_catch_up_t){
         .sources = group->members,
         .needed = store_group_sources_needed(group->members->len),
-        .source_complete_in = group->generation,
+        .min_source_generation = group->generation,
     };
 }
 
--- a/src/core/quorum/store_group.h
+++ b/src/core/quorum/store_group.h
@@ -65,9 +65,9 @@
 
 /** How a member becomes complete in its group's generation. */
 typedef struct {
-    const GArray *sources;       /**< Members to copy records from; the member itself is skipped. */
-    unsigned needed;             /**< Number of sources to copy from. */
-    uint64_t source_complete_in; /**< Minimum generation in which a source must be complete. */
+    const GArray *sources; /**< Members to copy records from; the member itself is skipped. */
+    unsigned needed;       /**< Number of sources to copy from. */
+    uint64_t min_source_generation; /**< Minimum generation in which a source must be complete. */
 } store_catch_up_t;
 
 /**
--- a/src/core/turns/record_clock.h
+++ b/src/core/turns/record_clock.h
@@ -19,7 +19,7 @@
 #include <stdint.h>
 
 /** Interval of marks while records are written; bounds the error of a record's age. */
-enum { RECORD_MARK_MS = 1000 };
+enum { RECORD_MARK_INTERVAL_MS = 1000 };
 
 typedef struct {
     uint64_t first_mark; /**< Earliest mark in the log; above 0 once older segments are deleted. */
@@ -32,12 +32,12 @@
 } record_clock_t;
 
 /** Replay: advances the clock to @p mark, read from the log. An earlier mark has no effect. */
-void record_clock_read(record_clock_t *clock, uint64_t mark);
+void record_clock_replay(record_clock_t *clock, uint64_t mark);
 /** Ends replay; from now on the clock advances with the caller's time @p now. */
-void record_clock_run(record_clock_t *clock, uint64_t now);
+void record_clock_start(record_clock_t *clock, uint64_t now);
 /** This clock's time at @p now; during replay, that of the latest mark. */
 uint64_t record_clock_time(const record_clock_t *clock, uint64_t now);
 /** True if a mark must be written before the next record; sets @p mark and counts it as written. */
-bool record_clock_mark(record_clock_t *clock, uint64_t now, uint64_t *mark);
+bool record_clock_next_mark(record_clock_t *clock, uint64_t now, uint64_t *mark);
 
 #endif
--- a/src/core/turns/room_holds.c
+++ b/src/core/turns/space_reservations.c
@@ -1,4 +1,4 @@
-#include "core/turns/room_holds.h"
+#include "core/turns/space_reservations.h"
 
 /** Weight of the latest call in the exponentially weighted moving average. */
 static const double MEAN_WEIGHT = 1.0 / 16;
@@ -14,19 +14,19 @@
     g_free(reservation);
 }
 
-void room_holds_init(room_holds_t *reservations) {
+void space_reservations_init(space_reservations_t *reservations) {
     reservations->calls = g_hash_table_new(g_str_hash, g_str_equal);
     g_queue_init(&reservations->order);
     reservations->mean_bytes = 0;
     reservations->completed = 0;
 }
 
-void room_holds_clear(room_holds_t *reservations) {
+void space_reservations_clear(space_reservations_t *reservations) {
     g_hash_table_destroy(reservations->calls);
     g_queue_clear_full(&reservations->order, free_reservation);
 }
 
-void room_holds_begin(room_holds_t *reservations, const char *call, uint64_t now) {
+void space_reservations_add(space_reservations_t *reservations, const char *call, uint64_t now) {
     if (g_hash_table_contains(reservations->calls, call))
         return;
     reservation_t *reservation = g_new0(reservation_t, 1);
@@ -36,20 +36,21 @@
     g_hash_table_insert(reservations->calls, reservation->call, reservations->order.tail);
 }
 
-static void remove_reservation(room_holds_t *reservations, GList *link) {
+static void remove_reservation(space_reservations_t *reservations, GList *link) {
     reservation_t *reservation = link->data;
     g_hash_table_remove(reservations->calls, reservation->call);
     g_queue_delete_link(&reservations->order, link);
     free_reservation(reservation);
 }
 
-void room_holds_cancel(room_holds_t *reservations, const char *call) {
+void space_reservations_cancel(space_reservations_t *reservations, const char *call) {
     GList *link = g_hash_table_lookup(reservations->calls, call);
     if (link != NULL)
         remove_reservation(reservations, link);
 }
 
-void room_holds_end(room_holds_t *reservations, const char *call, uint64_t turn_bytes) {
+void space_reservations_complete(space_reservations_t *reservations, const char *call,
+                                 uint64_t turn_bytes) {
     GList *link = g_hash_table_lookup(reservations->calls, call);
     if (link == NULL)
         return;
@@ -60,16 +61,16 @@
     reservations->completed++;
 }
 
-void room_holds_expire(room_holds_t *reservations, uint64_t now) {
+void space_reservations_expire(space_reservations_t *reservations, uint64_t now) {
     while (reservations->order.head != NULL) {
         const reservation_t *oldest = reservations->order.head->data;
-        if (oldest->started_at + ROOM_HOLD_MS > now)
+        if (oldest->started_at + SPACE_RESERVATION_TIMEOUT_MS > now)
             return;
         remove_reservation(reservations, reservations->order.head);
     }
 }
 
-uint64_t room_holds_bytes(const room_holds_t *reservations, uint64_t initial_mean) {
+uint64_t space_reservations_bytes(const space_reservations_t *reservations, uint64_t initial_mean) {
     double mean = reservations->completed == 0 ? (double)initial_mean : reservations->mean_bytes;
     return (uint64_t)(mean * g_queue_get_length((GQueue *)&reservations->order));
 }
--- a/src/core/turns/turn_table.c
+++ b/src/core/turns/turn_table.c
@@ -54,7 +54,7 @@
     g_free(table->buckets);
 }
 
-void turn_table_need_segment(turn_table_t *table, uint32_t segment, uint64_t until) {
+void turn_table_keep_segment(turn_table_t *table, uint32_t segment, uint64_t until) {
     if (segment >= table->segments_kept_until->len)
         g_array_set_size(table->segments_kept_until, segment + 1);
     uint64_t *needed = &g_array_index(table->segments_kept_until, uint64_t, segment);
@@ -77,7 +77,7 @@
         if (entry->expires_at >= expires_at && i > 0)
             return;
         entry->expires_at = MAX(entry->expires_at, expires_at);
-        turn_table_need_segment(table, entry->segment, entry->expires_at);
+        turn_table_keep_segment(table, entry->segment, entry->expires_at);
         const char *parent = entry->turn.parent;
         if (*parent == '\0')
             return;
@@ -128,7 +128,7 @@
     return entry == NULL ? NULL : &entry->turn;
 }
 
-uint32_t turn_table_time_left(const turn_table_t *table, const char *id, uint64_t now) {
+uint32_t turn_table_remaining_ms(const turn_table_t *table, const char *id, uint64_t now) {
     const turn_entry_t *entry = g_hash_table_lookup(table->entries, id);
     if (entry == NULL || entry->expires_at <= now)
         return 1;
@@ -155,7 +155,7 @@
     }
 }
 
-bool turn_table_segment_unneeded(const turn_table_t *table, uint32_t segment, uint64_t now) {
+bool turn_table_segment_unused(const turn_table_t *table, uint32_t segment, uint64_t now) {
     if (segment >= table->segments_kept_until->len)
         return true;
     return g_array_index(table->segments_kept_until, uint64_t, segment) <= now;
--- a/src/core/turns/turn_table.h
+++ b/src/core/turns/turn_table.h
@@ -63,12 +63,12 @@
 bool turn_table_add(turn_table_t *table, const turn_t *turn, uint32_t segment, uint64_t now);
 const turn_t *turn_table_find(const turn_table_t *table, const char *id);
 /** Remaining time until the turn expires, in ms; at least 1. */
-uint32_t turn_table_time_left(const turn_table_t *table, const char *id, uint64_t now);
+uint32_t turn_table_remaining_ms(const turn_table_t *table, const char *id, uint64_t now);
 /** Removes expired turns, and expired entries of `missing_until`. */
 void turn_table_expire(turn_table_t *table, uint64_t now);
 /** True if @p segment may be deleted. */
-bool turn_table_segment_unneeded(const turn_table_t *table, uint32_t segment, uint64_t now);
+bool turn_table_segment_unused(const turn_table_t *table, uint32_t segment, uint64_t now);
 /** Keeps @p segment until @p until, for a record other than a turn. */
-void turn_table_need_segment(turn_table_t *table, uint32_t segment, uint64_t until);
+void turn_table_keep_segment(turn_table_t *table, uint32_t segment, uint64_t until);
 
 #endif
--- a/src/directorysim/faults.c
+++ b/src/directorysim/faults.c
@@ -56,11 +56,11 @@
 
 /** One that is up, often one on duty; NULL: none was found. */
 static world_gateway_t *draw_gateway(void) {
-    bool on_duty = virtual_chance(ON_DUTY_PERCENT);
+    bool renewing = virtual_chance(ON_DUTY_PERCENT);
     guint first = (guint)virtual_random(0, world.gateways->len - 1);
     for (guint i = 0; i < world.gateways->len; i++) {
         world_gateway_t *gateway = gateway_at((first + i) % world.gateways->len);
-        if (is_up(gateway) && (!on_duty || gateway->gateway->on_duty))
+        if (is_up(gateway) && (!renewing || gateway->gateway->renewing))
             return gateway;
     }
     return NULL;
@@ -144,7 +144,7 @@
     disturb(&soft, ms);
     for (guint i = 0; i < world.gateways->len; i++) {
         world_gateway_t *gateway = gateway_at(i);
-        bool leads = is_up(gateway) && gateway->gateway->on_duty;
+        bool leads = is_up(gateway) && gateway->gateway->renewing;
         if (!gateway->cut_off && (leads || virtual_chance(REFUSED_PERCENT)))
             cut_gateway(gateway, SERVICE_REFUSES, ms);
     }
--- a/src/gateway/directory_duty.c
+++ b/src/gateway/directory_duty.c
@@ -2,7 +2,7 @@
  * Decides whether this gateway watches the key-value service itself or follows the view of another
  * gateway (directory_feed.h, directory_follow.h).
  *
- * Only the gateways with the watch role (watch_duty.h) watch the service. The others follow one of
+ * Only the gateways with the watch role (watch_role.h) watch the service. The others follow one of
  * them while their own watches are suspended. A suspended watch resumes from the latest revision
  * seen when there is no gateway to follow, or when another gateway reports a change that the source
  * did not deliver. Only watching gateways can be followed, which rules out cycles.
@@ -164,7 +164,7 @@
     gateway->follow = directory_follow_new(gateway->loop, &follow_handler, gateway);
 }
 
-/* Assignment of the watch role among gateways; see core/configuration/watch_duty.h. */
+/* Assignment of the watch role among gateways; see core/configuration/watch_role.h. */
 
 static void fill_report(void *owner, watch_report_t *report) {
     const gateway_t *gateway = owner;
@@ -176,7 +176,7 @@
     report->answer_age = gateway_directory_age(gateway);
     report->changed = key_value_watch_changed(watch);
     bool watches = !key_value_watch_rests(watch) && key_value_watch_failed_at(watch) == 0;
-    report->renews = gateway->on_duty && gateway->directory_confirmed &&
+    report->renews = gateway->renewing && gateway->directory_confirmed &&
                      (watches || has_root_cell_view(gateway));
 }
 
@@ -212,14 +212,14 @@
     uint32_t age = directory_follow_answer_age(gateway->follow);
     if (behind_since == 0 || !directory_follow_current(gateway->follow))
         return false;
-    return now < behind_since + WATCH_SOURCE_LAG_MS ||
-           age < WATCH_GATHER_MOST_MS + WATCH_SOURCE_LAG_MS;
+    return now < behind_since + WATCH_SOURCE_LAG_MAX_MS ||
+           age < WATCH_PAUSE_MAX_MS + WATCH_SOURCE_LAG_MAX_MS;
 }
 
 /** True if this gateway recently failed to reach the key-value service. */
 static bool service_failed_recently(const gateway_t *gateway) {
     uint64_t failed_at = key_value_watch_failed_at(gateway->watch);
-    uint64_t retry_ms = gateway->patient ? SERVICE_RETRY_PROBED_MS : SERVICE_RETRY_MS;
+    uint64_t retry_ms = gateway->slow_retry ? SERVICE_RETRY_PROBED_MS : SERVICE_RETRY_MS;
     return failed_at > 0 && uv_now(gateway->loop) < failed_at + retry_ms;
 }
 
@@ -340,7 +340,7 @@
     own->below = gateway->sources->len > 0;
     own->known = key_value_watch_known(gateway->watch);
     own->answered_at = key_value_watch_answered_at(gateway->watch);
-    own->begun_at = key_value_watch_begun_at(gateway->watch);
+    own->started_at = key_value_watch_begun_at(gateway->watch);
     uint32_t age = directory_follow_answer_age(gateway->follow);
     if (has_root_cell_view(gateway) && age != UINT32_MAX)
         own->answered_at = MAX(own->answered_at, now > age ? now - age : 0);
@@ -348,10 +348,10 @@
         gateway->sources_failed = 0;
     /* While another source is being tried, the wait for a response starts again. */
     if (follows_root_cell(gateway) && !directory_follow_current(gateway->follow))
-        own->begun_at = now;
+        own->started_at = now;
     /* A held listing waits for other gateways and does not time out. */
     if (key_value_watch_held_since(gateway->watch) > 0)
-        own->begun_at = now;
+        own->started_at = now;
 }
 
 /** Leaves a source as soon as it reports that its view is unconfirmed: the next may be usable. */
@@ -369,20 +369,20 @@
     leave_unconfirmed_source(gateway);
     update_watch_state(gateway);
     watch_decision_t decision =
-        watch_duty_decide(&gateway->watch_state, (const watch_report_t *)reports->data,
+        watch_role_decide(&gateway->watch_state, (const watch_report_t *)reports->data,
                           reports->len, period_ms, renewing_period_ms, uv_now(gateway->loop));
     key_value_watch_set_wait(gateway->watch, decision.wait_ms);
-    key_value_watch_set_patient(gateway->watch, decision.patient);
-    gateway->patient = decision.patient;
-    gateway->on_duty = decision.on_duty;
+    key_value_watch_set_patient(gateway->watch, decision.slow_retry);
+    gateway->slow_retry = decision.slow_retry;
+    gateway->renewing = decision.renewing;
     update_offering(gateway, decision.first && gateway->sources->len == 0);
     bool behind = gateway->watch_state.behind_since > 0;
     bool lacks_change = behind && directory_follow_current(gateway->follow);
     bool renew = (decision.renew || lacks_change) && !source_may_deliver(gateway);
-    update_following(gateway, !gateway->on_duty, renew);
+    update_following(gateway, !gateway->renewing, renew);
     check_peers(gateway, reports);
     gateway_check_ready(gateway);
-    return gateway->watch_state.behind_since > 0 ? WATCH_LOOK_BEHIND_MS : UINT64_MAX;
+    return gateway->watch_state.behind_since > 0 ? WATCH_BEHIND_CHECK_INTERVAL_MS : UINT64_MAX;
 }
 
 const load_sharing_handler_t gateway_watch_sharing = {fill_report, on_reports};
--- a/src/gateway/directory_watch.c
+++ b/src/gateway/directory_watch.c
@@ -1,9 +1,9 @@
 /*
  * One watch over the whole key-value service provides configuration, back ends and the store group.
  * At startup it is held, and a watch of the group's key alone runs instead until the group is known
- * (core/configuration/listing_turn.h). The version of the configuration never decreases. Back ends
- * that a listing lacks are removed; while the service does not respond, the last known state stays
- * in use.
+ * (core/configuration/listing_schedule.h). The version of the configuration never decreases. Back
+ * ends that a listing lacks are removed; while the service does not respond, the last known state
+ * stays in use.
  *
  * Gateways with the directory role (directory_duty.c) offer their view to the storage nodes. A
  * gateway that starts while the service is unavailable, or while its listing is held, serves from
@@ -14,9 +14,9 @@
 #include "gateway/gateway.h"
 
 #include "common/event.h"
-#include "core/configuration/directory_pace.h"
-#include "core/configuration/lapse.h"
-#include "core/configuration/listing_turn.h"
+#include "core/configuration/directory_pacing.h"
+#include "core/configuration/entry_expiry.h"
+#include "core/configuration/listing_schedule.h"
 
 #include <string.h>
 
@@ -67,14 +67,15 @@
     return gateway->backends_listed && !key_value_watch_rests(gateway->watch);
 }
 
-/** True if a back end without an entry is still used: the service was unavailable; see lapse.h. */
+/** True if a back end without an entry is still used: the service was unavailable; see
+ * entry_expiry.h. */
 static bool keeps_expired(gateway_t *gateway, const char *instance) {
     uint64_t now = uv_now(gateway->loop);
-    lapse_signs_t signs = {
+    entry_expiry_evidence_t evidence = {
         .failed_at = gateway->watch == NULL ? 0 : key_value_watch_failed_at(gateway->watch),
-        .back_at = gateway->key_value_back_at,
+        .recovered_at = gateway->key_value_back_at,
     };
-    uint64_t until = lapse_kept_until(&signs, now);
+    uint64_t until = entry_expiry_grace_end(&evidence, now);
     if (until == 0 || !backends_lapse(&gateway->backends, instance, until))
         return false;
     if (logs_backends(gateway))
@@ -304,7 +305,7 @@
         !directory_snapshot_read(bytes, &revision, apply_stored_item, gateway))
         return;
     gateway->snapshot.revision = MAX(gateway->snapshot.revision, revision);
-    gateway->kept_at = MAX(1, uv_now(gateway->loop));
+    gateway->view_received_at = MAX(1, uv_now(gateway->loop));
     gateway->backends_listed = true;
     event_log(GATEWAY_DIRECTORY_KEPT, revision, backends_count(&gateway->backends));
     if (key_value_watch_held_since(gateway->watch) > 0)
@@ -340,26 +341,27 @@
 
 /** Continues a held listing once it is due. */
 static void continue_listing(gateway_t *gateway) {
-    listing_turn_t turn = {
-        .held_since = key_value_watch_held_since(gateway->watch),
-        .told_at = gateway->gateways_told_at,
+    listing_schedule_t turn = {
+        .deferred_since = key_value_watch_held_since(gateway->watch),
+        .peers_known_at = gateway->gateways_told_at,
         .rank = load_sharing_rank(gateway->load_sharing),
         .below = gateway->sources->len > 0,
-        .lone = !gateway->stores_reached && store_client_links_opened(gateway->stores) == 0,
-        .kept_at = directory_follow_active(gateway->follow) ? 0 : gateway->kept_at,
-        .spread_ms = gateway->listing_spread_ms,
+        .no_stores = !gateway->stores_reached && store_client_links_opened(gateway->stores) == 0,
+        .view_received_at =
+            directory_follow_active(gateway->follow) ? 0 : gateway->view_received_at,
+        .jitter_ms = gateway->listing_spread_ms,
     };
-    if (turn.held_since == 0 || !listing_turn_due(&turn, uv_now(gateway->loop)))
+    if (turn.deferred_since == 0 || !listing_schedule_due(&turn, uv_now(gateway->loop)))
         return;
     event_log(GATEWAY_DIRECTORY_LISTS, turn.rank, turn.below ? "no" : "yes",
-              uv_now(gateway->loop) - turn.held_since);
+              uv_now(gateway->loop) - turn.deferred_since);
     key_value_watch_go_on(gateway->watch);
 }
 
 static void on_directory_check(uv_timer_t *timer) {
     gateway_t *gateway = timer->data;
     uint64_t now = uv_now(gateway->loop);
-    if (!gateway->backends_listed && directory_ask_due(gateway->directory_asked_at, now) &&
+    if (!gateway->backends_listed && directory_request_due(gateway->directory_asked_at, now) &&
         store_client_ask_directory(gateway->stores))
         gateway->directory_asked_at = now;
     unsigned expired = backends_expire_lapsed(&gateway->backends);
@@ -375,7 +377,7 @@
 
 void gateway_watch_directory(gateway_t *gateway) {
     gateway->offers_directory_since = MAX(1, gateway->started_at);
-    gateway->on_duty = true;
+    gateway->renewing = true;
     uv_timer_init(gateway->loop, &gateway->directory_timer);
     gateway->directory_timer.data = gateway;
     uv_timer_start(&gateway->directory_timer, on_directory_check, DIRECTORY_CHECK_INTERVAL_MS,
@@ -385,5 +387,5 @@
         gateway->loop, &settings->key_value, settings->key_value_text, key_value_prefix(KEY_OTHER),
         WATCH_WAIT_RENEWING_MS, &handler, gateway);
     open_group_watch(gateway);
-    gateway->listing_spread_ms = (uint32_t)g_random_int_range(0, LISTING_SPREAD_MS);
+    gateway->listing_spread_ms = (uint32_t)g_random_int_range(0, LISTING_JITTER_MAX_MS);
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -97,11 +97,12 @@
     uint64_t offered_revision; /**< Of the snapshot last offered to storage nodes. */
     uint64_t offered_at;
     unsigned offered_links;     /**< Links to storage nodes opened by the time of that offer. */
-    uint64_t kept_at;           /**< When a storage node's directory was applied; 0: never. */
-    uint32_t listing_spread_ms; /**< Chosen at random; see listing_turn.h. */
+    uint64_t view_received_at;  /**< When a storage node's directory was applied; 0: never. */
+    uint32_t listing_spread_ms; /**< Chosen at random; see listing_schedule.h. */
     uint64_t offers_directory_since; /**< Start of its offers to storage nodes; 0: none. */
-    bool on_duty;                    /**< This gateway watches the key-value service itself. */
-    bool patient; /**< Enough other gateways retry the key-value service; this one rarely does. */
+    bool renewing;                   /**< This gateway watches the key-value service itself. */
+    bool
+        slow_retry; /**< Enough other gateways retry the key-value service; this one rarely does. */
     bool reports_seen;           /**< Other gateways are known. */
     uint64_t directory_asked_at; /**< Latest request to storage nodes; 0: never. */
     uv_timer_t directory_timer;
--- a/src/gateway/load_report.h
+++ b/src/gateway/load_report.h
@@ -7,7 +7,7 @@
 #ifndef RUDDERWAY_GATEWAY_LOAD_REPORT_H
 #define RUDDERWAY_GATEWAY_LOAD_REPORT_H
 
-#include "core/configuration/watch_duty.h"
+#include "core/configuration/watch_role.h"
 #include "core/routing/backend_speed.h"
 
 #include <glib.h>
--- a/src/gateway/load_sharing.c
+++ b/src/gateway/load_sharing.c
@@ -4,7 +4,7 @@
  * at most once a period, and again at a longer interval. The period grows with the number of
  * gateways, so that the traffic of one gateway stays constant; it is longer while no back end is
  * half full, when loads hardly affect the choice. Reports continue without any calls, because the
- * watches of the others depend on them (watch_duty.h).
+ * watches of the others depend on them (watch_role.h).
  *
  * In a zone of many gateways reports arrive far more often than calls, so the loads are summed up
  * only when a choice needs them.
@@ -372,7 +372,7 @@
     bool recent =
         now < peer->last_received_at + IDLE_REFRESH_MS + SOURCE_PERIODS * period_ms(sharing);
     bool watch_works =
-        sharing->below || watch_duty_in_order(&peer->watch, renewing_period_ms(sharing), now);
+        sharing->below || watch_report_healthy(&peer->watch, renewing_period_ms(sharing), now);
     return recent && peer->watch.renews && watch_works;
 }
 
--- a/src/gateway/load_sharing.h
+++ b/src/gateway/load_sharing.h
@@ -10,12 +10,12 @@
 #ifndef RUDDERWAY_GATEWAY_LOAD_SHARING_H
 #define RUDDERWAY_GATEWAY_LOAD_SHARING_H
 
-#include "core/configuration/watch_duty.h"
+#include "core/configuration/watch_role.h"
 #include "gateway/backends.h"
 
 typedef struct load_sharing load_sharing_t;
 
-/** Watch reports, which gateways exchange besides loads; see watch_duty.h. */
+/** Watch reports, which gateways exchange besides loads; see watch_role.h. */
 typedef struct {
     /** Fills in this gateway's report. */
     void (*fill_report)(void *owner, watch_report_t *report);
@@ -35,7 +35,7 @@
                                   void *owner);
 /**
  * Replaces the list of gateways by "IP:PORT" texts; this gateway's own address is left out. @p
- * below: they follow gateways of another cell (watch_duty.h).
+ * below: they follow gateways of another cell (watch_role.h).
  */
 void load_sharing_set_gateways(load_sharing_t *sharing, const GPtrArray *addresses, bool below);
 /** From now on, reacts at once when another gateway loses the storage nodes. */
--- a/src/gateway/reports.c
+++ b/src/gateway/reports.c
@@ -89,7 +89,7 @@
     metrics_append(text, "directory_age_ms", gateway_directory_age(gateway));
     metrics_append(text, "directory_behind_ms",
                    behind_since == 0 ? 0 : uv_now(gateway->loop) - behind_since);
-    metrics_append(text, "directory_on_duty", gateway->on_duty);
+    metrics_append(text, "directory_on_duty", gateway->renewing);
     metrics_append(text, "directory_follows", directory_follow_current(gateway->follow));
     metrics_append(text, "directory_followers", directory_feed_followers(gateway->feed));
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -10,7 +10,7 @@
 
 static bool segment_is_unused(void *owner, uint32_t segment) {
     const store_t *store = owner;
-    return turn_table_segment_unneeded(&store->turns, segment, store_record_time(store));
+    return turn_table_segment_unused(&store->turns, segment, store_record_time(store));
 }
 
 uint64_t store_record_time(const store_t *store) {
@@ -34,7 +34,7 @@
     store_t *store = timer->data;
     uint64_t now = uv_now(store->loop);
     store_forget_expired(store);
-    room_holds_expire(&store->reservations, now);
+    space_reservations_expire(&store->reservations, now);
     if (has_expiring_records(store))
         store_append_time_mark(store);
     if (now > AFFINITY_RETENTION_MS)
@@ -51,7 +51,7 @@
     store->log = record_log_open(store->loop, store->settings->folder, store_replay, store, error);
     if (store->log == NULL)
         return false;
-    record_clock_run(&store->clock, uv_now(store->loop));
+    record_clock_start(&store->clock, uv_now(store->loop));
     store_forget_expired(store);
     event_log(STORE_LOG_READ, store->records_replayed, g_hash_table_size(store->turns.entries),
               store->turns.bytes, record_log_bytes(store->log));
@@ -73,7 +73,7 @@
     turn_table_init(&store->turns);
     budget_table_init_replica(&store->budgets);
     program_places_init(&store->affinity);
-    room_holds_init(&store->reservations);
+    space_reservations_init(&store->reservations);
     quota_table_init(&store->quotas, &store->settings->quota);
     admission_table_init(&store->admissions);
     store_requests_init(store);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -19,7 +19,7 @@
 #include "core/admission/admission_table.h"
 #include "core/quota/quota_table.h"
 #include "core/turns/record_clock.h"
-#include "core/turns/room_holds.h"
+#include "core/turns/space_reservations.h"
 #include "net/frame_connection.h"
 #include "store/gateway_directory.h"
 #include "store/program_places.h"
@@ -56,16 +56,16 @@
     bool stopping;
     latency_histogram_t write_latency; /**< From receipt of a write until it is on disk. */
     uint64_t writes_failed;
-    uint64_t last_write_failure_at; /**< Loop time; 0: no write has failed. */
-    room_holds_t reservations;      /**< Space for the turns of running calls. */
-    uint64_t pending_turn_bytes;    /**< Size of the turns that are being written. */
-    uint64_t refused_for_room;      /**< Turns of running calls refused for lack of space. */
-    uint64_t taken_beyond_share;    /**< Such turns accepted above the limits for new turns. */
-    uint64_t reserves_refused;      /**< For lack of memory, or after a failed write. */
-    bool out_of_space;              /**< The response to the last reserve allowed no new turn. */
-    uint64_t records_replayed;      /**< From the log, at startup. */
-    uint64_t turns_copied;          /**< From other members. */
-    uint64_t copy_looks;            /**< Turn ids examined while copying. */
+    uint64_t last_write_failure_at;    /**< Loop time; 0: no write has failed. */
+    space_reservations_t reservations; /**< Space for the turns of running calls. */
+    uint64_t pending_turn_bytes;       /**< Size of the turns that are being written. */
+    uint64_t refused_for_room;         /**< Turns of running calls refused for lack of space. */
+    uint64_t taken_beyond_share;       /**< Such turns accepted above the limits for new turns. */
+    uint64_t reserves_refused;         /**< For lack of memory, or after a failed write. */
+    bool out_of_space;                 /**< The response to the last reserve allowed no new turn. */
+    uint64_t records_replayed;         /**< From the log, at startup. */
+    uint64_t turns_copied;             /**< From other members. */
+    uint64_t copy_looks;               /**< Turn ids examined while copying. */
     store_catch_up_state_t *catch_up;
     store_membership_t *membership;
     store_directory_t *directory;
--- a/src/store/store_catch_up.c
+++ b/src/store/store_catch_up.c
@@ -4,7 +4,7 @@
  * its disk and receives the index of the differences page by page. Only one page is outstanding at
  * a time, over all sources, and the next one is requested once the charges of the previous page are
  * on disk, so that each charge is transferred once and memory use is bounded. A turn held by
- * several sources is fetched from one of them (core/quorum/copy_claims.h). The copy from a source
+ * several sources is fetched from one of them (core/quorum/fetch_plan.h). The copy from a source
  * is finished once every record in its index is on this node's disk.
  *
  * A node that starts with an empty disk waits for longer than the write timeout of gateways. A
@@ -18,7 +18,7 @@
 
 #include "common/event.h"
 #include "core/digest/record_digest.h"
-#include "core/quorum/copy_claims.h"
+#include "core/quorum/fetch_plan.h"
 #include "store/store_peer.h"
 
 enum {
@@ -61,11 +61,11 @@
     uint64_t generation; /**< Target generation of the copies. */
     uint64_t round;      /**< Incremented when all copies are discarded. */
     GPtrArray *copies;
-    copy_claims_t *claims;   /**< Assigns turns to sources; NULL without copies. */
-    unsigned pending_writes; /**< Records of this round being written. */
-    bool write_failed;       /**< A write of this round failed. */
-    uint64_t pause_until;    /**< No copy starts earlier. */
-    bool processing_message; /**< Defers checks until the current response is processed. */
+    fetch_plan_t *fetch_plan; /**< Assigns turns to sources; NULL without copies. */
+    unsigned pending_writes;  /**< Records of this round being written. */
+    bool write_failed;        /**< A write of this round failed. */
+    uint64_t pause_until;     /**< No copy starts earlier. */
+    bool processing_message;  /**< Defers checks until the current response is processed. */
     bool finishing;
 };
 
@@ -82,9 +82,9 @@
     catch_up->pending_writes = 0;
     catch_up->write_failed = false;
     g_ptr_array_set_size(catch_up->copies, 0);
-    if (catch_up->claims != NULL)
-        copy_claims_free(catch_up->claims);
-    catch_up->claims = NULL;
+    if (catch_up->fetch_plan != NULL)
+        fetch_plan_free(catch_up->fetch_plan);
+    catch_up->fetch_plan = NULL;
 }
 
 static void set_step(copy_t *copy, copy_step_t step) {
@@ -95,7 +95,7 @@
 static void log_copy(const copy_t *copy, const char *state) {
     uint64_t ms = uv_now(copy->catch_up->store->loop) - copy->started_at;
     event_log(STORE_COPY, copy->peer->name, state,
-              copy_claims_left(copy->catch_up->claims, copy->number), copy->charges, ms);
+              fetch_plan_missing(copy->catch_up->fetch_plan, copy->number), copy->charges, ms);
 }
 
 /** Restarts the copy from its first index page and logs @p reason. */
@@ -105,7 +105,7 @@
     copy->page = FIRST_PAGE;
     copy->charges = 0;
     set_step(copy, COPY_STATUS);
-    copy_claims_reset(copy->catch_up->claims, copy->number);
+    fetch_plan_reset(copy->catch_up->fetch_plan, copy->number);
 }
 
 /** Adds the next turns assigned to this source to @p request, which may remain empty. */
@@ -113,11 +113,11 @@
     const store_catch_up_state_t *catch_up = copy->catch_up;
     g_hash_table_remove_all(copy->requested);
     while (request->ids->len < TURNS_PER_REQUEST) {
-        const char *id = copy_claims_take(catch_up->claims, copy->number);
+        const char *id = fetch_plan_next(catch_up->fetch_plan, copy->number);
         if (id == NULL)
             return;
         if (turn_table_find(&catch_up->store->turns, id) != NULL) {
-            copy_claims_arrived(catch_up->claims, id); /* Written by a gateway meanwhile. */
+            fetch_plan_arrived(catch_up->fetch_plan, id); /* Written by a gateway meanwhile. */
             continue;
         }
         g_hash_table_add(copy->requested, g_strdup(id));
@@ -130,7 +130,7 @@
     message_t request;
     message_init(&request, REQUEST_TURNS);
     select_turns(copy, &request);
-    unsigned left = copy_claims_left(copy->catch_up->claims, copy->number);
+    unsigned left = fetch_plan_missing(copy->catch_up->fetch_plan, copy->number);
     if (request.ids->len > 0) {
         set_step(copy, COPY_TURNS);
         store_peer_send(copy->peer, &request);
@@ -159,7 +159,7 @@
     copy->pending_writes -= record->turn == NULL;
     catch_up->write_failed = catch_up->write_failed || !durable;
     if (durable && record->turn != NULL)
-        copy_claims_arrived(catch_up->claims, record->turn);
+        fetch_plan_arrived(catch_up->fetch_plan, record->turn);
     bool charges_written = record->turn == NULL && copy->pending_writes == 0;
     if ((catch_up->pending_writes == 0 || charges_written) && !catch_up->processing_message)
         store_catch_up_check(catch_up->store);
@@ -206,7 +206,7 @@
     for (guint i = 0; i < response->ids->len; i++) {
         const char *id = g_ptr_array_index(response->ids, i);
         if (turn_table_find(&store->turns, id) == NULL)
-            copy_claims_add(copy->catch_up->claims, copy->number, id);
+            fetch_plan_add(copy->catch_up->fetch_plan, copy->number, id);
     }
     set_step(copy, COPY_PAGE);
 }
@@ -217,7 +217,7 @@
     gpointer id;
     g_hash_table_iter_init(&iterator, copy->requested);
     while (g_hash_table_iter_next(&iterator, &id, NULL))
-        copy_claims_lacks(copy->catch_up->claims, copy->number, id);
+        fetch_plan_not_found(copy->catch_up->fetch_plan, copy->number, id);
 }
 
 static void handle_turns(copy_t *copy, message_t *response) {
@@ -308,7 +308,7 @@
 }
 
 /** Restarts a copy that has timed out, and starts one whose source is complete. */
-static void advance_copy(copy_t *copy, uint64_t source_complete_in) {
+static void advance_copy(copy_t *copy, uint64_t min_source_generation) {
     store_catch_up_state_t *catch_up = copy->catch_up;
     const store_peer_t *peer = copy->peer;
     uint64_t now = uv_now(catch_up->store->loop);
@@ -320,7 +320,7 @@
     /* After a timeout, requires a newer status so that an unresponsive source is not retried. */
     bool status_received = peer->answered_at > 0 && peer->answered_at >= copy->step_since;
     bool usable =
-        peer->connection != NULL && status_received && peer->complete_in >= source_complete_in;
+        peer->connection != NULL && status_received && peer->complete_in >= min_source_generation;
     if (!usable || now < catch_up->pause_until || !no_page_pending(catch_up, now))
         return;
     if (copy->started_at == 0)
@@ -334,11 +334,11 @@
     clear_copies(catch_up);
     catch_up->generation = store->group->generation;
     catch_up->finishing = false;
-    catch_up->claims = copy_claims_new(plan->sources->len);
+    catch_up->fetch_plan = fetch_plan_new(plan->sources->len);
     for (guint i = 0; i < plan->sources->len; i++) {
         const store_member_t *member = &g_array_index(plan->sources, store_member_t, i);
         bool other = g_strcmp0(member->name, store->settings->name) != 0;
-        if (other && catch_up->copies->len < COPY_SOURCES_MAXIMUM)
+        if (other && catch_up->copies->len < FETCH_SOURCES_MAX)
             add_copy(catch_up, member);
     }
 }
@@ -364,8 +364,8 @@
 }
 
 static void stop_catch_up(store_catch_up_state_t *catch_up) {
-    if (catch_up->claims != NULL)
-        catch_up->store->copy_looks += copy_claims_looks(catch_up->claims);
+    if (catch_up->fetch_plan != NULL)
+        catch_up->store->copy_looks += fetch_plan_examined(catch_up->fetch_plan);
     clear_copies(catch_up);
     catch_up->generation = 0;
     if (catch_up->running)
@@ -406,7 +406,7 @@
     restart_after_failed_write(catch_up);
     for (guint i = 0; i < catch_up->copies->len; i++) {
         copy_t *copy = g_ptr_array_index(catch_up->copies, i);
-        advance_copy(copy, plan.source_complete_in);
+        advance_copy(copy, plan.min_source_generation);
         if (copy->step == COPY_PAGE)
             finish_page(copy);
         if (copy->step == COPY_WAITING)
--- a/src/store/store_directory.c
+++ b/src/store/store_directory.c
@@ -2,7 +2,7 @@
 
 #include "cluster/service_directory.h"
 #include "common/event.h"
-#include "core/configuration/directory_pace.h"
+#include "core/configuration/directory_pacing.h"
 
 #include <string.h>
 #include <xxhash.h>
@@ -122,11 +122,11 @@
     frame_connection_t *connection =
         g_hash_table_lookup(directory->store->connections, &directory->offered_by);
     if (connection == NULL) {
-        offer->offered = 0;
+        offer->offered_revision = 0;
         return;
     }
-    event_log(STORE_DIRECTORY_ASKED, offer->revision, offer->offered);
-    offer->asked_at = MAX(1, now(directory));
+    event_log(STORE_DIRECTORY_ASKED, offer->revision, offer->offered_revision);
+    offer->requested_at = MAX(1, now(directory));
     message_t request;
     message_init(&request, REQUEST_DIRECTORY);
     frame_connection_send(connection, message_encode(&request));
@@ -137,17 +137,17 @@
                              uint64_t revision) {
     bool offerer_disconnected =
         !g_hash_table_contains(directory->store->connections, &directory->offered_by);
-    bool timed_out = directory->offer.asked_at > 0 &&
-                     now(directory) >= directory->offer.asked_at + DIRECTORY_PULL_MS;
-    if (revision > directory->offer.offered || offerer_disconnected || timed_out) {
-        directory->offer.offered = revision;
+    bool timed_out = directory->offer.requested_at > 0 &&
+                     now(directory) >= directory->offer.requested_at + DIRECTORY_PULL_TIMEOUT_MS;
+    if (revision > directory->offer.offered_revision || offerer_disconnected || timed_out) {
+        directory->offer.offered_revision = revision;
         directory->offered_by = *frame_connection_serial(connection);
     }
     request_offered_directory(directory);
 }
 
 void store_directory_take(store_directory_t *directory, const message_t *message) {
-    directory->offer.asked_at = 0;
+    directory->offer.requested_at = 0;
     bool empty = message->directory == NULL || g_bytes_get_size(message->directory) == 0;
     if (empty || message->revision <= directory->revision)
         return;
@@ -159,7 +159,7 @@
     directory->message = NULL;
     directory->revision = message->revision;
     directory->changed = true;
-    directory->offer.taken_at = MAX(1, now(directory));
+    directory->offer.received_at = MAX(1, now(directory));
 }
 
 static GBytes *obtain_message(store_directory_t *directory) {
@@ -177,11 +177,11 @@
 void store_directory_send(store_directory_t *directory, frame_connection_t *connection) {
     if (directory->revision == 0)
         return;
-    size_t waiting_there = frame_connection_backlog(connection);
+    size_t queued_bytes = frame_connection_backlog(connection);
     size_t held = store_buffer_bytes(directory->store);
     size_t memory = directory->store->settings->memory_megabytes * MEGABYTE;
-    if (!directory_answer_now(waiting_there, held, memory)) {
-        event_log(STORE_DIRECTORY_DEFERRED, (uint64_t)waiting_there, (uint64_t)held);
+    if (!directory_response_due(queued_bytes, held, memory)) {
+        event_log(STORE_DIRECTORY_DEFERRED, (uint64_t)queued_bytes, (uint64_t)held);
         return;
     }
     frame_connection_send(connection, obtain_message(directory));
--- a/src/store/store_directory.h
+++ b/src/store/store_directory.h
@@ -21,7 +21,7 @@
 store_directory_t *store_directory_new(store_t *store);
 /**
  * Handles the announcement that the gateway of @p connection holds the directory at @p revision. A
- * newer one is requested from one gateway at a time (core/configuration/directory_pace.h).
+ * newer one is requested from one gateway at a time (core/configuration/directory_pacing.h).
  */
 void store_directory_offered(store_directory_t *directory, const frame_connection_t *connection,
                              uint64_t revision);
--- a/src/store/store_replay.c
+++ b/src/store/store_replay.c
@@ -6,7 +6,7 @@
 
 /** Removes expired records as in normal operation, so that a replay needs no more memory. */
 static void replay_time_mark(store_t *store, uint64_t mark) {
-    record_clock_read(&store->clock, mark);
+    record_clock_replay(&store->clock, mark);
     if (store_record_time(store) >= store->last_expiry_at + STORE_UPKEEP_INTERVAL_MS)
         store_forget_expired(store);
 }
@@ -15,7 +15,7 @@
     uint64_t time = store_record_time(store);
     budget_table_merge(&store->budgets, charge, time);
     budget_table_mark_durable(&store->budgets, charge);
-    turn_table_need_segment(&store->turns, segment, time + BUDGET_RETENTION_MS);
+    turn_table_keep_segment(&store->turns, segment, time + BUDGET_RETENTION_MS);
 }
 
 static void replay_record(store_t *store, uint32_t segment, message_t *record) {
--- a/src/store/store_requests.c
+++ b/src/store/store_requests.c
@@ -75,7 +75,7 @@
 
 static void mark_charge_durable(store_t *store, const budget_charge_t *charge, uint32_t segment) {
     budget_table_mark_durable(&store->budgets, charge);
-    turn_table_need_segment(&store->turns, segment, store_record_time(store) + BUDGET_RETENTION_MS);
+    turn_table_keep_segment(&store->turns, segment, store_record_time(store) + BUDGET_RETENTION_MS);
 }
 
 static void on_write_done(void *owner, bool durable, uint32_t segment) {
@@ -124,7 +124,7 @@
 
 void store_append_time_mark(store_t *store) {
     uint64_t mark;
-    if (!record_clock_mark(&store->clock, now(store), &mark))
+    if (!record_clock_next_mark(&store->clock, now(store), &mark))
         return;
     message_t record;
     message_init(&record, RECORD_TIME);
@@ -163,7 +163,7 @@
     response.room = store_can_start_turn(store);
     store->reserves_refused += complete && !accepted;
     if (accepted || !complete)
-        room_holds_begin(&store->reservations, charge->call, now(store));
+        space_reservations_add(&store->reservations, charge->call, now(store));
     if (accepted) {
         response.summary = budget_table_reserve(&store->budgets, charge->program, charge->call,
                                                 charge->most, store_record_time(store));
@@ -194,9 +194,9 @@
 /** Releases the space reserved for the turn of a call that has ended. */
 static void release_reservation(store_t *store, const budget_charge_t *charge) {
     if (charge->spent == 0)
-        room_holds_cancel(&store->reservations, charge->call);
+        space_reservations_cancel(&store->reservations, charge->call);
     else
-        room_holds_end(&store->reservations, charge->call, 0);
+        space_reservations_complete(&store->reservations, charge->call, 0);
 }
 
 static void handle_settle(store_t *store, frame_connection_t *connection, message_t *request,
@@ -229,7 +229,7 @@
     const turn_t *turn = &g_array_index(request->turns, turn_t, 0);
     write_t *write = new_write(store, connection, request);
     turn_copy(&write->turn, turn);
-    room_holds_end(&store->reservations, turn->id, turn_memory_bytes(turn));
+    space_reservations_complete(&store->reservations, turn->id, turn_memory_bytes(turn));
     append(store, g_bytes_ref(record), write);
 }
 
@@ -262,7 +262,7 @@
         message_add_turn(&response, turn);
         turn_t *copy = &g_array_index(response.turns, turn_t, response.turns->len - 1);
         copy->retention_ms =
-            turn_table_time_left(&store->turns, turn->id, store_record_time(store));
+            turn_table_remaining_ms(&store->turns, turn->id, store_record_time(store));
     }
     frame_connection_send(connection, message_encode(&response));
     message_clear(&response);
--- a/src/store/store_room.c
+++ b/src/store/store_room.c
@@ -68,7 +68,7 @@
 }
 
 uint64_t store_reserved_turn_bytes(const store_t *store) {
-    return room_holds_bytes(&store->reservations, mean_turn_bytes(store));
+    return space_reservations_bytes(&store->reservations, mean_turn_bytes(store));
 }
 
 /** True if a write failed less than WRITE_FAILURE_BACKOFF_MS ago. */
--- a/tests/unit/control_traffic_test.cc
+++ b/tests/unit/control_traffic_test.cc
@@ -18,9 +18,9 @@
 #include "cluster/directory_snapshot.h"
 #include "cluster/message.h"
 #include "cluster/service_directory.h"
-#include "core/configuration/directory_pace.h"
-#include "core/configuration/listing_turn.h"
-#include "core/configuration/watch_duty.h"
+#include "core/configuration/directory_pacing.h"
+#include "core/configuration/listing_schedule.h"
+#include "core/configuration/watch_role.h"
 #include "core/quorum/store_group_choice.h"
 #include "gateway/backend_paces.h"
 #include "gateway/load_report.h"
@@ -194,9 +194,9 @@
                 reports[i] = {i < rank, i, now - 100, 1000, backends, true, i < WATCH_RENEWING};
             watch_state_t own = {backends, now - 1000, now - 1000, 0, !list.sources.empty()};
             watch_decision_t decision =
-                watch_duty_decide(&own, reports.data(), peers, load_report_period_ms(peers, true),
+                watch_role_decide(&own, reports.data(), peers, load_report_period_ms(peers, true),
                                   load_report_period_ms(peers, false), now);
-            found += (decision.on_duty && list.sources.empty()) ? 1 : 0;
+            found += (decision.renewing && list.sources.empty()) ? 1 : 0;
         }
         return found;
     }
@@ -207,8 +207,8 @@
         unsigned found = 0;
         for (const auto &[serial, list] : lists) {
             unsigned rank = rank_of(list, addresses.at(serial));
-            listing_turn_t turn = {start, start, rank, !list.sources.empty(), false, 0, 0};
-            found += listing_turn_due(&turn, start + LISTING_SETTLE_MS + elapsed_ms) ? 1 : 0;
+            listing_schedule_t turn = {start, start, rank, !list.sources.empty(), false, 0, 0};
+            found += listing_schedule_due(&turn, start + LISTING_SETTLE_MS + elapsed_ms) ? 1 : 0;
         }
         return found;
     }
--- a/tests/unit/lapse_test.cc
+++ b/tests/unit/entry_expiry_test.cc
@@ -5,29 +5,29 @@
 #include <string>
 
 extern "C" {
-#include "core/configuration/lapse.h"
+#include "core/configuration/entry_expiry.h"
 #include "gateway/backends.h"
 }
 
 namespace {
 
-TEST(Lapse, EntriesMissingAfterAnOutageHaveAGracePeriod) {
-    lapse_signs_t signs = {0, 10000};
-    EXPECT_EQ(lapse_kept_until(&signs, 10000), 12000U);
-    EXPECT_EQ(lapse_kept_until(&signs, 11999), 12000U);
-    EXPECT_EQ(lapse_kept_until(&signs, 12000), 0U);
+TEST(EntryExpiry, EntriesMissingAfterAnOutageHaveAGracePeriod) {
+    entry_expiry_evidence_t evidence = {0, 10000};
+    EXPECT_EQ(entry_expiry_grace_end(&evidence, 10000), 12000U);
+    EXPECT_EQ(entry_expiry_grace_end(&evidence, 11999), 12000U);
+    EXPECT_EQ(entry_expiry_grace_end(&evidence, 12000), 0U);
 }
 
 // The update may come through another gateway that reached the service earlier.
-TEST(Lapse, EntriesMissingDuringAnOutageHaveAGracePeriod) {
-    lapse_signs_t signs = {10000, 0};
-    EXPECT_EQ(lapse_kept_until(&signs, 11000), 13000U);
-    EXPECT_EQ(lapse_kept_until(&signs, 11500), 0U);
+TEST(EntryExpiry, EntriesMissingDuringAnOutageHaveAGracePeriod) {
+    entry_expiry_evidence_t evidence = {10000, 0};
+    EXPECT_EQ(entry_expiry_grace_end(&evidence, 11000), 13000U);
+    EXPECT_EQ(entry_expiry_grace_end(&evidence, 11500), 0U);
 }
 
-TEST(Lapse, EntriesMissingWithoutAnOutageAreRemoved) {
-    lapse_signs_t signs = {0, 0};
-    EXPECT_EQ(lapse_kept_until(&signs, 100), 0U);
+TEST(EntryExpiry, EntriesMissingWithoutAnOutageAreRemoved) {
+    entry_expiry_evidence_t evidence = {0, 0};
+    EXPECT_EQ(entry_expiry_grace_end(&evidence, 100), 0U);
 }
 
 class ExpiredBackends : public testing::Test {
--- a/tests/unit/copy_claims_test.cc
+++ b/tests/unit/fetch_plan_test.cc
@@ -2,7 +2,7 @@
 #include <glib.h>
 
 extern "C" {
-#include "core/quorum/copy_claims.h"
+#include "core/quorum/fetch_plan.h"
 }
 
 #include <gtest/gtest.h>
@@ -13,29 +13,29 @@
 
 namespace {
 
-class CopyClaims : public testing::Test {
+class FetchPlan : public testing::Test {
   protected:
     void SetUp() override {
-        claims = copy_claims_new(3);
+        claims = fetch_plan_new(3);
     }
     void TearDown() override {
-        copy_claims_free(claims);
+        fetch_plan_free(claims);
     }
     void add(unsigned source, const std::vector<std::string> &ids) {
         for (const std::string &id : ids)
-            copy_claims_add(claims, source, id.c_str());
+            fetch_plan_add(claims, source, id.c_str());
     }
     std::string take(unsigned source) {
-        const char *id = copy_claims_take(claims, source);
+        const char *id = fetch_plan_next(claims, source);
         return id == nullptr ? "" : id;
     }
     unsigned missing(unsigned source) const {
-        return copy_claims_left(claims, source);
+        return fetch_plan_missing(claims, source);
     }
-    copy_claims_t *claims = nullptr;
+    fetch_plan_t *claims = nullptr;
 };
 
-TEST_F(CopyClaims, ARecordOfSeveralSourcesIsRequestedOnce) {
+TEST_F(FetchPlan, ARecordOfSeveralSourcesIsRequestedOnce) {
     add(0, {"a", "b"});
     add(1, {"a", "b"});
     EXPECT_EQ(take(0), "a");
@@ -44,65 +44,65 @@
     EXPECT_EQ(take(1), "");
 }
 
-TEST_F(CopyClaims, ACopyIsCompleteOnceAllListedRecordsArrived) {
+TEST_F(FetchPlan, ACopyIsCompleteOnceAllListedRecordsArrived) {
     add(0, {"a", "b"});
     add(1, {"a"});
-    copy_claims_arrived(claims, "a");
+    fetch_plan_arrived(claims, "a");
     EXPECT_EQ(missing(0), 1u);
     EXPECT_EQ(missing(1), 0u);
-    copy_claims_arrived(claims, "a");
-    copy_claims_arrived(claims, "b");
+    fetch_plan_arrived(claims, "a");
+    fetch_plan_arrived(claims, "b");
     EXPECT_EQ(missing(0), 0u);
     EXPECT_EQ(take(0), "");
 }
 
-TEST_F(CopyClaims, AMissingRecordIsRequestedFromAnotherSource) {
+TEST_F(FetchPlan, AMissingRecordIsRequestedFromAnotherSource) {
     add(0, {"a"});
     add(1, {"a"});
     EXPECT_EQ(take(0), "a");
     EXPECT_EQ(take(1), "");
-    copy_claims_lacks(claims, 0, "a");
+    fetch_plan_not_found(claims, 0, "a");
     EXPECT_EQ(missing(0), 0u);
     EXPECT_EQ(missing(1), 1u);
     EXPECT_EQ(take(0), "");
     EXPECT_EQ(take(1), "a");
 }
 
-TEST_F(CopyClaims, ARecordWithoutHoldersIsNotAwaited) {
+TEST_F(FetchPlan, ARecordWithoutHoldersIsNotAwaited) {
     add(0, {"a"});
     EXPECT_EQ(take(0), "a");
-    copy_claims_lacks(claims, 0, "a");
+    fetch_plan_not_found(claims, 0, "a");
     EXPECT_EQ(missing(0), 0u);
 }
 
-TEST_F(CopyClaims, RequestsToALostSourceMoveToAnother) {
+TEST_F(FetchPlan, RequestsToALostSourceMoveToAnother) {
     add(0, {"a", "b"});
     add(1, {"a", "b"});
     EXPECT_EQ(take(0), "a");
     EXPECT_EQ(take(1), "b");
-    copy_claims_reset(claims, 0);
+    fetch_plan_reset(claims, 0);
     EXPECT_EQ(missing(0), 0u);
     EXPECT_EQ(missing(1), 2u);
     EXPECT_EQ(take(1), "a");
     EXPECT_EQ(take(1), "");
 }
 
-TEST_F(CopyClaims, ALostSourceMayListAgain) {
+TEST_F(FetchPlan, ALostSourceMayListAgain) {
     add(0, {"a", "b"});
     EXPECT_EQ(take(0), "a");
-    copy_claims_reset(claims, 0);
+    fetch_plan_reset(claims, 0);
     add(0, {"a", "b"});
     EXPECT_EQ(missing(0), 2u);
     std::set<std::string> asked = {take(0), take(0)};
     EXPECT_EQ(asked, (std::set<std::string>{"a", "b"}));
 }
 
-TEST_F(CopyClaims, ARecordFromALostSourceCountsForAll) {
+TEST_F(FetchPlan, ARecordFromALostSourceCountsForAll) {
     add(0, {"a"});
     add(1, {"a"});
     EXPECT_EQ(take(0), "a");
-    copy_claims_reset(claims, 0);
-    copy_claims_arrived(claims, "a");
+    fetch_plan_reset(claims, 0);
+    fetch_plan_arrived(claims, "a");
     EXPECT_EQ(missing(1), 0u);
     EXPECT_EQ(take(1), "");
     add(0, {"a"});
--- a/tests/unit/record_clock_test.cc
+++ b/tests/unit/record_clock_test.cc
@@ -15,14 +15,14 @@
     void start() {
         clock = {};
         for (uint64_t mark : marks)
-            record_clock_read(&clock, mark);
-        record_clock_run(&clock, 0);
+            record_clock_replay(&clock, mark);
+        record_clock_start(&clock, 0);
     }
     /** Writes a record every 100 ms until @p until. */
     void write(uint64_t until) {
         uint64_t mark = 0;
         for (uint64_t now = 0; now <= until; now += 100)
-            if (record_clock_mark(&clock, now, &mark))
+            if (record_clock_next_mark(&clock, now, &mark))
                 marks.push_back(mark);
     }
     uint64_t time(uint64_t now) const {
@@ -92,9 +92,9 @@
 
 TEST(RecordClock, AnEarlierMarkDoesNotSetTheClockBack) {
     record_clock_t clock = {};
-    record_clock_read(&clock, 5000);
-    record_clock_read(&clock, 9000);
-    record_clock_read(&clock, 4000);
+    record_clock_replay(&clock, 5000);
+    record_clock_replay(&clock, 9000);
+    record_clock_replay(&clock, 4000);
     EXPECT_EQ(record_clock_time(&clock, 0), 4000U);
 }
 
--- a/tests/unit/turns_test.cc
+++ b/tests/unit/turns_test.cc
@@ -98,9 +98,9 @@
 TEST_F(TurnTable, ReturnsTheRemainingTime) {
     add("a", "", 0);
     add("b", "a", 600);
-    EXPECT_EQ(turn_table_time_left(&table, "a", 700), 900u);
-    EXPECT_EQ(turn_table_time_left(&table, "b", 1600), 1u);
-    EXPECT_EQ(turn_table_time_left(&table, "none", 0), 1u);
+    EXPECT_EQ(turn_table_remaining_ms(&table, "a", 700), 900u);
+    EXPECT_EQ(turn_table_remaining_ms(&table, "b", 1600), 1u);
+    EXPECT_EQ(turn_table_remaining_ms(&table, "none", 0), 1u);
 }
 
 TEST_F(TurnTable, ATurnNeverChanges) {
@@ -129,10 +129,10 @@
 TEST_F(TurnTable, ASegmentIsKeptAsLongAsTheChainsThatStartInIt) {
     add("a", "", 0, 1);
     add("b", "a", 900, 2);
-    EXPECT_FALSE(turn_table_segment_unneeded(&table, 1, 1500));
-    EXPECT_TRUE(turn_table_segment_unneeded(&table, 1, 1900));
-    turn_table_need_segment(&table, 1, 5000);
-    EXPECT_FALSE(turn_table_segment_unneeded(&table, 1, 1900));
+    EXPECT_FALSE(turn_table_segment_unused(&table, 1, 1500));
+    EXPECT_TRUE(turn_table_segment_unused(&table, 1, 1900));
+    turn_table_keep_segment(&table, 1, 5000);
+    EXPECT_FALSE(turn_table_segment_unused(&table, 1, 1900));
 }
 
 class BudgetTable : public testing::Test {
@@ -304,7 +304,7 @@
     store_catch_up_t kept = store_group_catch_up(next, "a", 1);
     EXPECT_EQ(kept.sources, next->previous);
     EXPECT_EQ(kept.needed, 1u); // The read quorum is 2, itself included.
-    EXPECT_EQ(kept.source_complete_in, 1u);
+    EXPECT_EQ(kept.min_source_generation, 1u);
     store_group_free(next);
     store_group_free(group);
 }
@@ -314,7 +314,7 @@
     store_catch_up_t empty = store_group_catch_up(group, "a", 0);
     EXPECT_EQ(empty.sources, group->members);
     EXPECT_EQ(empty.needed, 2u); // Its records may be on only one other member.
-    EXPECT_EQ(empty.source_complete_in, 1u);
+    EXPECT_EQ(empty.min_source_generation, 1u);
     store_group_free(group);
 }
 
