--- a/src/gateway/call.c
+++ b/src/gateway/call.c
@@ -164,7 +164,7 @@
     if (refusal.redirect_after_ms == 0)
         return retry_after_ms;
     call->gateway->counters.refused_zone_cut++;
-    event_log(GATEWAY_COME_BACK, call->id == NULL ? "-" : call->id, reason_names[reason],
+    event_log(GATEWAY_RETRY_AFTER, call->id == NULL ? "-" : call->id, reason_names[reason],
               refusal.duration_ms, refusal.redirect_after_ms, refusal.time_left_ms,
               refusal.program_left_ms, retry_after_ms);
     return retry_after_ms;
@@ -272,7 +272,7 @@
     const tenancy_t *tenancy = call->configuration->tenancy;
     if (tenancy == NULL)
         return true;
-    const char *key = call_key(call_field(call, FIELD_KEY));
+    const char *key = call_field_parse_key(call_field(call, FIELD_KEY));
     if (key != NULL)
         call->tenant = tenancy_find(tenancy, key);
     if (call->tenant != NULL || call->route->open_to_all)
@@ -309,7 +309,7 @@
     }
     if (!identify_tenant(call))
         return;
-    call->service_name = split_next(gateway->split_credits, call->route);
+    call->service_name = split_next(gateway->split_state, call->route);
     call->service = directory_find_service(call->configuration, call->service_name);
     call->program = call_field(call, FIELD_PROGRAM);
     call->deadline = compute_deadline(call);
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -2,7 +2,7 @@
  * @file call.h
  * One call, from its arrival to the end of its response. call.c decides what the caller gets,
  * call_send.c exchanges requests and responses with back ends, call_retry.c decides on retries,
- * call_quota.c applies the tenant's rate limit, call_pace.c measures the speed of back ends, and
+ * call_quota.c applies the tenant's rate limit, call_speed.c measures the speed of back ends, and
  * call_turn.c handles the budget of a program's turn, its previous turns and its storage.
  *
  * Thread safety: everything here runs on the loop's thread.
@@ -74,7 +74,7 @@
     uint32_t retry_after_ms;
 } call_quota_t;
 
-/** Event times of the current send, in ms of loop time; see call_pace.c. */
+/** Event times of the current send, in ms of loop time; see call_speed.c. */
 typedef struct {
     uint64_t sent_at;      /**< Identifies the send that this belongs to. */
     uint64_t first_at;     /**< Arrival of the send's first events. */
@@ -101,7 +101,7 @@
     engine_affinity_t affinity;
     uint64_t last_engine; /**< Hash of the engine that last ran the program; 0: unknown. */
 
-    /* Cost-based placement; see engine_turn.h. */
+    /* Cost-based placement; see call_placement.h. */
     unsigned engine_load;              /**< Other calls at the engine when this one was sent. */
     uint32_t engine_recomputed_tokens; /**< Prompt tokens processed again after a move. */
     uint32_t engine_wait_ms;           /**< Time until an engine can accept the call; 0: unknown. */
@@ -168,7 +168,7 @@
 /** Closes the exchange with the back end, which cancels its work, and releases the back end. */
 void call_cancel_exchange(call_t *call);
 
-/* call_pace.c */
+/* call_speed.c */
 
 /** Records the response time of a back end that does not answer with a stream. */
 void call_speed_record_head(const call_t *call, unsigned status);
@@ -196,11 +196,11 @@
  * True if the response to the current send is late and the call should be resent. Takes one retry
  * from the late-response budget in that case.
  */
-bool call_answer_is_late(call_t *call, uint64_t now);
+bool call_take_late_retry(call_t *call, uint64_t now);
 /** Handles a call whose response is late or overtaken, or whose back end is unreachable. */
-void call_lost_at_backend(call_t *call, const char *reason);
+void call_handle_backend_lost(call_t *call, const char *reason);
 /** Handles a back end that no longer accepts connections. */
-void call_backend_unreachable(call_t *call);
+void call_handle_backend_unreachable(call_t *call);
 
 /* call_quota.c */
 
--- a/src/gateway/call_fields.h
+++ b/src/gateway/call_fields.h
@@ -24,7 +24,7 @@
     FIELD_PROMPT_PARTS,     /**< "ID:TOKENS,...": the prompt's parts in order. */
     FIELD_PROGRAM_DEADLINE, /**< Remaining time of the program, in ms. */
     FIELD_TENANT,           /**< Tenant of the call; sent to back ends. */
-    FIELD_KEY,              /**< Caller's key, in the form that call_key parses. */
+    FIELD_KEY,              /**< Caller's key, in the form that call_field_parse_key parses. */
     FIELD_COUNT,
 } call_field_t;
 
@@ -35,10 +35,10 @@
  * caller's value of such a field is dropped: it could name reservations or memory of others. All
  * other fields of a caller are forwarded.
  */
-bool call_field_is_own(const char *name);
+bool call_field_is_gateway_only(const char *name);
 /** The key in a value of FIELD_KEY; NULL if there is none. */
-const char *call_key(const char *value);
+const char *call_field_parse_key(const char *value);
 /** URL path of the gateway's readiness check. */
-const char *call_readiness_path(void);
+const char *readiness_check_path(void);
 
 #endif
--- a/src/gateway/engine_turn.c
+++ b/src/gateway/call_placement.c
@@ -3,7 +3,7 @@
  * until its load has fallen, and its record as the program's engine is cleared, so that the
  * caller's next attempt, at any gateway, goes to an engine with free slots.
  */
-#include "gateway/engine_turn.h"
+#include "gateway/call_placement.h"
 
 #include "common/event.h"
 #include "gateway/engine_load.h"
--- a/src/gateway/engine_turn.h
+++ b/src/gateway/call_placement.h
@@ -1,12 +1,12 @@
 /**
- * @file engine_turn.h
+ * @file call_placement.h
  * Cost-based placement of a call: describes its prompt, chooses the engine, logs and counts the
  * choice, and updates the engine's load model from the response.
  *
  * Thread safety: everything here runs on the loop's thread.
  */
-#ifndef RUDDERWAY_GATEWAY_ENGINE_TURN_H
-#define RUDDERWAY_GATEWAY_ENGINE_TURN_H
+#ifndef RUDDERWAY_GATEWAY_CALL_PLACEMENT_H
+#define RUDDERWAY_GATEWAY_CALL_PLACEMENT_H
 
 #include "gateway/call.h"
 
--- a/src/gateway/call_retry.c
+++ b/src/gateway/call_retry.c
@@ -10,7 +10,7 @@
 
 #include "common/event.h"
 #include "core/retry/resend.h"
-#include "gateway/engine_turn.h"
+#include "gateway/call_placement.h"
 
 enum {
     MAX_CONNECT_FAILURES = 4,
@@ -61,7 +61,7 @@
     retry_budget_record_first_attempt(&gateway->late_budget);
 }
 
-bool call_answer_is_late(call_t *call, uint64_t now) {
+bool call_take_late_retry(call_t *call, uint64_t now) {
     gateway_t *gateway = call->gateway;
     if (!is_plain_repeatable(call) || call->answered)
         return false;
@@ -159,7 +159,7 @@
     call->client = NULL;
 }
 
-void call_lost_at_backend(call_t *call, const char *reason) {
+void call_handle_backend_lost(call_t *call, const char *reason) {
     call_log_send_failed(call, reason);
     close_client(call);
     if (!call->streaming)
@@ -167,7 +167,7 @@
     call_handle_unknown_outcome(call, CALL_BACKEND_LOST);
 }
 
-void call_backend_unreachable(call_t *call) {
+void call_handle_backend_unreachable(call_t *call) {
     call->backends_ended++;
-    call_lost_at_backend(call, "unreachable");
+    call_handle_backend_lost(call, "unreachable");
 }
--- a/src/gateway/call_send.c
+++ b/src/gateway/call_send.c
@@ -10,7 +10,7 @@
 
 #include "common/event.h"
 #include "gateway/backend_probe.h"
-#include "gateway/engine_turn.h"
+#include "gateway/call_placement.h"
 
 #include <string.h>
 #include <strings.h>
@@ -59,7 +59,7 @@
     bool strips_key = call->configuration->tenancy != NULL;
     for (size_t i = 0; i < http_headers_count(headers); i++) {
         const char *name = http_headers_name(headers, i);
-        bool skip = http_header_is_hop_by_hop(name) || call_field_is_own(name) ||
+        bool skip = http_header_is_hop_by_hop(name) || call_field_is_gateway_only(name) ||
                     (strips_key && is_field(name, FIELD_KEY)) ||
                     (resumes && is_field(name, FIELD_LAST_EVENT));
         if (!skip)
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -82,7 +82,7 @@
     silence_watch_t silence_watch;
     GHashTable *answer_times;   /**< Route name to answer_time_t, of repeatable calls. */
     retry_budget_t late_budget; /**< Limits the calls resent because their response is late. */
-    GHashTable *split_credits;  /**< Route name to the state of its traffic split; see split.h. */
+    GHashTable *split_state;    /**< Route name to the state of its traffic split; see split.h. */
     key_value_watch_t *watch;
     key_value_watch_t *group_watch; /**< Of the store group's key, at startup; NULL: none. */
     directory_feed_t *feed;         /**< Forwards the directory to gateways that follow this one. */
--- a/src/gateway/main.c
+++ b/src/gateway/main.c
@@ -83,7 +83,7 @@
         store_relay_open(gateway->loop, &settings->peer, gateway->stores, gateway->feed);
     if (gateway->relay == NULL)
         return false;
-    gateway->split_credits = split_credits_new();
+    gateway->split_state = split_state_new();
     gateway->answer_times = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     gateway->late_budget = retry_budget_new();
     silence_watch_init(&gateway->silence_watch, gateway->loop);
--- a/src/gateway/reports.c
+++ b/src/gateway/reports.c
@@ -71,7 +71,7 @@
     gateway_t *gateway = owner;
     gateway_check_ready(gateway);
     unsigned status = gateway->ready ? STATUS_OK : STATUS_UNAVAILABLE;
-    if (strcmp(request->target, call_readiness_path()) != 0)
+    if (strcmp(request->target, readiness_check_path()) != 0)
         status = STATUS_NOT_FOUND;
     http_caller_answer(caller, status, NULL, NULL, 0);
 }
--- a/src/gateway/silence_watch.c
+++ b/src/gateway/silence_watch.c
@@ -7,8 +7,8 @@
 
 static void check_call(call_t *call, uint64_t now) {
     backend_t *backend = call->backend;
-    if (call_answer_is_late(call, now)) {
-        call_lost_at_backend(call, "late");
+    if (call_take_late_retry(call, now)) {
+        call_handle_backend_lost(call, "late");
         return;
     }
     call_activity_t call_state = {
@@ -18,11 +18,11 @@
     };
     switch (stall_evaluate(&call_state, &backend->signs, now)) {
     case STALL_CALL_LOST:
-        call_lost_at_backend(call, "overtaken");
+        call_handle_backend_lost(call, "overtaken");
         break;
     case STALL_SUSPECTED:
         if (backend_unreachable_since(backend, call->last_received_at))
-            call_backend_unreachable(call);
+            call_handle_backend_unreachable(call);
         else
             backend_probe(backend);
         break;
--- a/src/gateway/split.c
+++ b/src/gateway/split.c
@@ -11,7 +11,7 @@
     g_free(route);
 }
 
-GHashTable *split_credits_new(void) {
+GHashTable *split_state_new(void) {
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_credits);
 }
 
--- a/src/gateway/split.h
+++ b/src/gateway/split.h
@@ -16,6 +16,6 @@
  */
 const char *split_next(GHashTable *table, const route_t *route);
 /** Creates an empty state table. */
-GHashTable *split_credits_new(void);
+GHashTable *split_state_new(void);
 
 #endif
--- a/tests/unit/engine_turn_test.cc
+++ b/tests/unit/call_placement_test.cc
@@ -6,7 +6,7 @@
 
 extern "C" {
 #include "gateway/engine_load.h"
-#include "gateway/engine_turn.h"
+#include "gateway/call_placement.h"
 }
 
 namespace {
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -174,7 +174,7 @@
         route_part_t part = {g_strdup(service), weight};
         g_array_append_val(route->parts, part);
     }
-    GHashTable *credits = split_credits_new();
+    GHashTable *credits = split_state_new();
     std::map<std::string, int> counts;
     for (int i = 1; i <= 1000; i++) {
         counts[split_next(credits, route)]++;
--- a/tests/unit/platform_test.cc
+++ b/tests/unit/platform_test.cc
@@ -125,11 +125,11 @@
 }
 
 TEST(Platform, ReadsTheKeyOfACall) {
-    EXPECT_STREQ(call_key("Bearer abc"), "abc");
-    EXPECT_STREQ(call_key("bearer  abc"), "abc");
+    EXPECT_STREQ(call_field_parse_key("Bearer abc"), "abc");
+    EXPECT_STREQ(call_field_parse_key("bearer  abc"), "abc");
     for (const char *none : {"", "Bearer", "Bearer ", "Basic abc", "Bearerabc", "abc"})
-        EXPECT_EQ(call_key(none), nullptr) << none;
-    EXPECT_EQ(call_key(nullptr), nullptr);
+        EXPECT_EQ(call_field_parse_key(none), nullptr) << none;
+    EXPECT_EQ(call_field_parse_key(nullptr), nullptr);
 }
 
 TEST(Platform, ReadsABackEndAndWhetherItLeaves) {
@@ -232,12 +232,12 @@
     for (const char *own : {"Deadline-Milliseconds", "Expect-Instance", "Expect-Version",
                             "Request-Priority", "Tenant", "Hold", "Pin-Milliseconds",
                             "Cache-Backup", "Kv-From", "Kv-Fetch", "hold", "TENANT"})
-        EXPECT_TRUE(call_field_is_own(own)) << own;
+        EXPECT_TRUE(call_field_is_gateway_only(own)) << own;
     for (const char *passed :
          {"Attempt-Id", "Affinity-Key", "Prompt-Prefix", "Last-Event-Id", "Model", "Token-Counts",
           "Program-Id", "Session-Id", "Program-Deadline", "Token-Budget", "Previous-Turn",
           "Length-Hint", "Host", "Content-Type", "Accept", "X-Unheard-Of", "Holder", ""})
-        EXPECT_FALSE(call_field_is_own(passed)) << passed;
+        EXPECT_FALSE(call_field_is_gateway_only(passed)) << passed;
 }
 
 TEST(Platform, ReadsListingsAndEvents) {
