--- a/src/directorysim/stubs.c
+++ b/src/directorysim/stubs.c
@@ -32,7 +32,7 @@
     kept_answer_t answer = *(kept_answer_t *)data;
     g_free(data);
     if (answer.gateway->gateway != NULL)
-        gateway_take_directory(answer.gateway->gateway, answer.bytes);
+        gateway_apply_stored_directory(answer.gateway->gateway, answer.bytes);
     g_bytes_unref(answer.bytes);
 }
 
@@ -55,7 +55,7 @@
     if (gateway == NULL || gateway->stores != client)
         return;
     uint64_t revision = 0;
-    GBytes *bytes = gateway_read_directory(gateway, &revision);
+    GBytes *bytes = gateway_encode_directory(gateway, &revision);
     if (bytes != NULL)
         world_keep_directory(bytes);
 }
--- a/src/directorysim/world.c
+++ b/src/directorysim/world.c
@@ -33,7 +33,7 @@
     told_t told = *(told_t *)data;
     g_free(data);
     if (told.gateway->gateway != NULL)
-        gateway_take_gateways(told.gateway->gateway, told.known, told.sources);
+        gateway_update_peers(told.gateway->gateway, told.known, told.sources);
     g_ptr_array_unref(told.known);
     g_ptr_array_unref(told.sources);
 }
@@ -116,10 +116,10 @@
     state->started_at = virtual_now();
     backends_init(&state->backends, state->loop, process->zone, process->name);
     state->load_sharing = load_sharing_open(state->loop, &process->address, &state->backends,
-                                            &gateway_watch_sharing, state);
+                                            &gateway_load_sharing_handler, state);
     gateway->stores = stub_store_client_new(gateway);
     state->stores = gateway->stores;
-    gateway_open_directory(state);
+    gateway_init_directory(state);
     state->relay = store_relay_open(state->loop, &process->address, state->stores, state->feed);
     gateway_watch_directory(state);
     virtual_after(virtual_random(CONNECT_LEAST_MS, CONNECT_MOST_MS), process, gateway_connects,
--- a/src/gateway/backend_paces.c
+++ b/src/gateway/backend_paces.c
@@ -227,13 +227,13 @@
     uint64_t now = uv_now(backends->loop);
     uint64_t bytes = (uint64_t)ENTRY_BYTES * gateways;
     refill_credit(speeds, gateways, now);
-    while (speeds->credit_bytes >= bytes && entries->len < LOAD_ENTRIES_MAXIMUM) {
+    while (speeds->credit_bytes >= bytes && entries->len < LOAD_ENTRIES_MAX) {
         backend_t *backend = g_queue_pop_head(&speeds->to_report);
         if (backend == NULL)
             return;
         backend->speed->to_report = false;
         speed_estimate_t estimate = backend_samples_estimate(&backend->speed->own);
-        load_entry_t entry = load_entry_of_pace(backend->incarnation_id, &estimate, now);
+        load_entry_t entry = load_entry_from_speed(backend->incarnation_id, &estimate, now);
         g_array_append_val(entries, entry);
         speeds->credit_bytes -= bytes;
     }
@@ -256,7 +256,7 @@
     backend_t *backend = g_hash_table_lookup(backends->speeds->by_incarnation, &entry->backend);
     if (backend == NULL)
         return false;
-    speed_estimate_t estimate = load_entry_pace(entry, uv_now(backends->loop));
+    speed_estimate_t estimate = load_entry_speed(entry, uv_now(backends->loop));
     reported_speed_t *reported = find_report_slot(obtain_speed(backend), sender);
     if (reported->sender != sender || estimate.at >= reported->estimate.at)
         *reported = (reported_speed_t){sender, estimate};
--- a/src/gateway/call.c
+++ b/src/gateway/call.c
@@ -128,10 +128,10 @@
 static void describe_isolation(const call_t *call, retry_after_t *refusal) {
     const gateway_t *gateway = call->gateway;
     refusal->reason = RETRY_AFTER_ISOLATED;
-    if (gateway->zone_cut_since == 0)
+    if (gateway->zone_isolated_since == 0)
         return;
-    refusal->duration_ms = (uint32_t)(uv_now(gateway->loop) - gateway->zone_cut_since);
-    refusal->redirect_after_ms = GATEWAY_LED_ELSEWHERE_MS;
+    refusal->duration_ms = (uint32_t)(uv_now(gateway->loop) - gateway->zone_isolated_since);
+    refusal->redirect_after_ms = GATEWAY_REDIRECT_DELAY_MS;
 }
 
 /** Describes a refused call for the calculation of its retry-after time. */
--- a/src/gateway/call_send.c
+++ b/src/gateway/call_send.c
@@ -224,7 +224,7 @@
         backend_note_reset(call->backend);
         clear_last_engine(call);
         backend_probe(call->backend);
-        load_sharing_tell_now(call->gateway->load_sharing);
+        load_sharing_report_now(call->gateway->load_sharing);
     }
     call_log_send_failed(call, failure == HTTP_FAILURE_NO_ANSWER ? "no_answer" : "broken_answer");
     if (!call->streaming)
--- a/src/gateway/call_turn.c
+++ b/src/gateway/call_turn.c
@@ -103,7 +103,7 @@
 bool call_turn_refuse_if_isolated(call_t *call) {
     detect_budget(call);
     bool needs_stores = call->turn.budgeted || call->route->keeps_turns;
-    if (!needs_stores || call->gateway->zone_cut_since == 0)
+    if (!needs_stores || call->gateway->zone_isolated_since == 0)
         return false;
     call_refuse(call, STATUS_UNAVAILABLE,
                 call->turn.budgeted ? CALL_BUDGET_UNKNOWN : CALL_TURN_UNKNOWN);
--- a/src/gateway/directory_duty.c
+++ b/src/gateway/directory_role.c
@@ -38,10 +38,10 @@
 
 /* Sources: gateways of the root cell that this one may follow. */
 
-void gateway_take_gateways(void *owner, const GPtrArray *addresses, const GPtrArray *sources) {
+void gateway_update_peers(void *owner, const GPtrArray *addresses, const GPtrArray *sources) {
     gateway_t *gateway = owner;
-    if (gateway->gateways_told_at == 0)
-        gateway->gateways_told_at = MAX(1, uv_now(gateway->loop));
+    if (gateway->gateways_received_at == 0)
+        gateway->gateways_received_at = MAX(1, uv_now(gateway->loop));
     g_array_set_size(gateway->sources, 0);
     for (guint i = 0; i < sources->len; i++) {
         struct sockaddr_in address;
@@ -67,7 +67,7 @@
 
 /** True if this gateway belongs to the root cell, so that gateways of other cells may follow it. */
 static bool in_root_cell(const gateway_t *gateway) {
-    return gateway->sources->len == 0 && gateway->gateways_told_at > 0;
+    return gateway->sources->len == 0 && gateway->gateways_received_at > 0;
 }
 
 /** True if the view comes from a gateway of the root cell. */
@@ -122,12 +122,12 @@
         g_hash_table_iter_init(&iterator, snapshot->items);
         while (g_hash_table_iter_next(&iterator, &key, &value)) {
             key_value_item_t item = {.key = key, .value = value, .revision = snapshot->revision};
-            gateway_take_item(gateway, &item);
+            gateway_apply_item(gateway, &item);
         }
         gateway_retain_items(gateway, snapshot->items);
     }
     key_value_watch_advance(gateway->watch, revision);
-    gateway_note_listed(gateway);
+    gateway_on_directory_complete(gateway);
 }
 
 static void on_source_changes(void *owner, const GArray *changes, uint64_t revision) {
@@ -135,7 +135,7 @@
     if (changes->len > 0)
         event_log(GATEWAY_DIRECTORY_CHANGES, changes->len, revision);
     for (guint i = 0; i < changes->len; i++)
-        gateway_take_item(gateway, &g_array_index(changes, key_value_item_t, i));
+        gateway_apply_item(gateway, &g_array_index(changes, key_value_item_t, i));
     key_value_watch_advance(gateway->watch, revision);
 }
 
@@ -157,7 +157,7 @@
     on_source_changes, on_source_group, on_source_lost,
 };
 
-void gateway_open_directory(gateway_t *gateway) {
+void gateway_init_directory(gateway_t *gateway) {
     directory_snapshot_init(&gateway->snapshot);
     gateway->sources = g_array_new(FALSE, FALSE, sizeof(struct sockaddr_in));
     gateway->feed = directory_feed_new(gateway->loop, read_feed_state, gateway);
@@ -186,13 +186,13 @@
  */
 static void check_peers(gateway_t *gateway, const GArray *reports) {
     unsigned without = 0;
-    gateway->others_have_stores = false;
+    gateway->peers_reach_stores = false;
     for (guint i = 0; i < reports->len; i++) {
         const watch_report_t *report = &g_array_index(reports, watch_report_t, i);
         bool recent = uv_now(gateway->loop) < report->last_received_at + PEER_REPORT_EXPIRY_MS;
-        bool since = report->last_received_at > gateway->stores_lost_at;
+        bool since = report->last_received_at > gateway->stores_unreachable_since;
         if (recent && since && report->has_stores)
-            gateway->others_have_stores = true;
+            gateway->peers_reach_stores = true;
         without += recent && !report->has_stores;
     }
     if (without > gateway->peers_without_stores)
@@ -306,8 +306,8 @@
     renew = renew && !(may_follow && change_source(gateway, rests));
     bool held = key_value_watch_held_since(gateway->watch) > 0;
     bool may_rest = (gateway->directory_confirmed || held) && (rests || below);
-    bool wanted =
-        (may_rest || service_failed_recently(gateway)) && !renew && gateway->stores_lost_at == 0;
+    bool wanted = (may_rest || service_failed_recently(gateway)) && !renew &&
+                  gateway->stores_unreachable_since == 0;
     if (!wanted)
         directory_follow_end(follow, renew ? "behind" : "duty", renew ? DIRECTORY_AVOID_MS : 0);
     else if (directory_follow_active(follow) && follows_wrong_source(gateway, rests))
@@ -385,4 +385,4 @@
     return gateway->watch_state.behind_since > 0 ? WATCH_BEHIND_CHECK_INTERVAL_MS : UINT64_MAX;
 }
 
-const load_sharing_handler_t gateway_watch_sharing = {fill_report, on_reports};
+const load_sharing_handler_t gateway_load_sharing_handler = {fill_report, on_reports};
--- a/src/gateway/directory_watch.c
+++ b/src/gateway/directory_watch.c
@@ -5,7 +5,7 @@
  * ends that a listing lacks are removed; while the service does not respond, the last known state
  * stays in use.
  *
- * Gateways with the directory role (directory_duty.c) offer their view to the storage nodes. A
+ * Gateways with the directory role (directory_role.c) offer their view to the storage nodes. A
  * gateway that starts while the service is unavailable, or while its listing is held, serves from
  * such a stored view until the service, or a gateway that watches it, confirms it. Until then it
  * answers a call without a route with 503 instead of 404, because a later configuration may have
@@ -73,13 +73,13 @@
     uint64_t now = uv_now(gateway->loop);
     entry_expiry_evidence_t evidence = {
         .failed_at = gateway->watch == NULL ? 0 : key_value_watch_failed_at(gateway->watch),
-        .recovered_at = gateway->key_value_back_at,
+        .recovered_at = gateway->key_value_recovered_at,
     };
     uint64_t until = entry_expiry_grace_end(&evidence, now);
     if (until == 0 || !backends_lapse(&gateway->backends, instance, until))
         return false;
     if (logs_backends(gateway))
-        event_log(BACKEND_LAPSED, instance, until - now);
+        event_log(BACKEND_ENTRY_EXPIRED, instance, until - now);
     return true;
 }
 
@@ -152,7 +152,7 @@
         gateway_check_ready(gateway);
 }
 
-void gateway_take_item(gateway_t *gateway, const key_value_item_t *item) {
+void gateway_apply_item(gateway_t *gateway, const key_value_item_t *item) {
     const char *name;
     if (item->value == NULL || key_value_kind(item->key, &name) != KEY_CONFIGURATION) {
         apply_redacted_item(gateway, item);
@@ -191,12 +191,12 @@
     const char *instance;
     load_sharing_check_soon(gateway->load_sharing);
     if (item->value == NULL || key_value_kind(item->key, &instance) != KEY_BACKEND) {
-        gateway_take_item(gateway, item);
+        gateway_apply_item(gateway, item);
         return;
     }
     key_value_item_t backend = *item;
     backend.value = shorten_backend(gateway, instance, item->value);
-    gateway_take_item(gateway, &backend);
+    gateway_apply_item(gateway, &backend);
     if (backend.value != NULL)
         g_bytes_unref(backend.value);
     else /* The entry exists but names no usable back end: it has not expired. */
@@ -207,7 +207,7 @@
     GPtrArray *missing = directory_snapshot_missing(&gateway->snapshot, keys);
     for (guint i = 0; i < missing->len; i++) {
         key_value_item_t removed = {.key = g_ptr_array_index(missing, i)};
-        gateway_take_item(gateway, &removed);
+        gateway_apply_item(gateway, &removed);
     }
     g_ptr_array_free(missing, TRUE);
 }
@@ -217,7 +217,7 @@
     return store_client_generation(gateway->stores) == 0;
 }
 
-void gateway_note_listed(gateway_t *gateway) {
+void gateway_on_directory_complete(gateway_t *gateway) {
     gateway->backends_listed = true;
     gateway->directory_confirmed = true;
     event_log(GATEWAY_DIRECTORY_LISTED, gateway->snapshot.revision,
@@ -231,14 +231,14 @@
     if (keys != NULL)
         gateway_retain_items(gateway, keys);
     key_value_watch_set_pause(gateway->watch, WATCH_RESTING_PAUSE_MS);
-    gateway_note_listed(gateway);
+    gateway_on_directory_complete(gateway);
 }
 
 static void on_reachable(void *owner, bool reachable) {
     gateway_t *gateway = owner;
     gateway->key_value_reachable = reachable;
     if (reachable && gateway->key_value_failed)
-        gateway->key_value_back_at = uv_now(gateway->loop);
+        gateway->key_value_recovered_at = uv_now(gateway->loop);
     gateway->key_value_failed = !reachable;
     if (reachable)
         event_log(KEY_VALUE_REACHABLE, gateway->settings->key_value_text);
@@ -253,7 +253,7 @@
 
 static void on_group_item(void *owner, const key_value_item_t *item) {
     gateway_t *gateway = owner;
-    gateway_take_item(gateway, item);
+    gateway_apply_item(gateway, item);
 }
 
 static void on_group_listed(void *owner, GHashTable *keys) {
@@ -295,10 +295,10 @@
     if (g_hash_table_contains(gateway->snapshot.items, key))
         return;
     key_value_item_t item = {.key = (char *)key, .value = value};
-    gateway_take_item(gateway, &item);
+    gateway_apply_item(gateway, &item);
 }
 
-void gateway_take_directory(void *owner, GBytes *bytes) {
+void gateway_apply_stored_directory(void *owner, GBytes *bytes) {
     gateway_t *gateway = owner;
     uint64_t revision = 0;
     if (gateway->backends_listed ||
@@ -313,7 +313,7 @@
     gateway_check_ready(gateway);
 }
 
-GBytes *gateway_read_directory(void *owner, uint64_t *revision) {
+GBytes *gateway_encode_directory(void *owner, uint64_t *revision) {
     gateway_t *gateway = owner;
     /* During a listing, items that it has not reached are older than its revision. */
     if (!gateway->directory_confirmed || !key_value_watch_listed(gateway->watch))
@@ -343,7 +343,7 @@
 static void continue_listing(gateway_t *gateway) {
     listing_schedule_t turn = {
         .deferred_since = key_value_watch_held_since(gateway->watch),
-        .peers_known_at = gateway->gateways_told_at,
+        .peers_known_at = gateway->gateways_received_at,
         .rank = load_sharing_rank(gateway->load_sharing),
         .below = gateway->sources->len > 0,
         .no_stores = !gateway->stores_reached && store_client_links_opened(gateway->stores) == 0,
@@ -366,7 +366,7 @@
         gateway->directory_asked_at = now;
     unsigned expired = backends_expire_lapsed(&gateway->backends);
     if (expired > 0)
-        event_log(BACKENDS_GONE, expired, backends_count(&gateway->backends));
+        event_log(BACKENDS_REMOVED, expired, backends_count(&gateway->backends));
     offer_directory(gateway);
     end_group_watch(gateway);
     continue_listing(gateway);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -37,7 +37,7 @@
  * checks; callers are redirected once the zone's last gateway is out, which may detect the
  * isolation slightly later than this one.
  */
-enum { GATEWAY_LED_ELSEWHERE_MS = 2100 };
+enum { GATEWAY_REDIRECT_DELAY_MS = 2100 };
 
 typedef struct {
     uint64_t calls;
@@ -88,13 +88,13 @@
     directory_feed_t *feed;         /**< Forwards the directory to gateways that follow this one. */
     directory_follow_t *follow;     /**< Receives the directory from another gateway. */
     directory_snapshot_t snapshot;  /**< Contents of the directory as received. */
-    GBytes *group;             /**< Latest store group in the directory; NULL: none received. */
-    bool directory_confirmed;  /**< Received from the key-value service, not a storage node. */
-    GArray *sources;           /**< Of struct sockaddr_in: gateways of the root cell to follow. */
-    unsigned sources_tried;    /**< Number of attempts to follow one of them. */
-    unsigned sources_failed;   /**< Consecutive failed attempts. */
-    uint64_t gateways_told_at; /**< When storage nodes first listed other gateways; 0: never. */
-    uint64_t offered_revision; /**< Of the snapshot last offered to storage nodes. */
+    GBytes *group;            /**< Latest store group in the directory; NULL: none received. */
+    bool directory_confirmed; /**< Received from the key-value service, not a storage node. */
+    GArray *sources;          /**< Of struct sockaddr_in: gateways of the root cell to follow. */
+    unsigned sources_tried;   /**< Number of attempts to follow one of them. */
+    unsigned sources_failed;  /**< Consecutive failed attempts. */
+    uint64_t gateways_received_at; /**< When storage nodes first listed other gateways; 0: never. */
+    uint64_t offered_revision;     /**< Of the snapshot last offered to storage nodes. */
     uint64_t offered_at;
     unsigned offered_links;     /**< Links to storage nodes opened by the time of that offer. */
     uint64_t view_received_at;  /**< When a storage node's directory was applied; 0: never. */
@@ -112,14 +112,15 @@
     bool stores_reached;   /**< A quorum has been connected, or was awaited long enough. */
     outage_t store_outage; /**< Storage nodes can't respond for budgets or turns. */
     bool key_value_reachable;
-    bool key_value_failed;      /**< The key-value service did not respond to its latest request. */
-    uint64_t key_value_back_at; /**< When it responded again after failing; 0: never. */
-    uint64_t stores_lost_at;    /**< Since when no quorum of storage nodes responds; 0: one does. */
-    bool others_have_stores;    /**< Another gateway reaches storage nodes. */
-    unsigned peers_without_stores; /**< Other gateways that recently reported reaching none. */
-    outage_t configuration_outage; /**< No configuration has been received yet. */
-    uint64_t zone_cut_since;       /**< Since when the zone is isolated; 0: it is not. */
-    uv_timer_t led_elsewhere;      /**< Active while the zone is isolated; see isolation.c. */
+    bool key_value_failed; /**< The key-value service did not respond to its latest request. */
+    uint64_t key_value_recovered_at;   /**< When it responded again after failing; 0: never. */
+    uint64_t stores_unreachable_since; /**< Since when no quorum of storage nodes responds; 0: one
+                                          does. */
+    bool peers_reach_stores;           /**< Another gateway reaches storage nodes. */
+    unsigned peers_without_stores;     /**< Other gateways that recently reported reaching none. */
+    outage_t configuration_outage;     /**< No configuration has been received yet. */
+    uint64_t zone_isolated_since;      /**< Since when the zone is isolated; 0: it is not. */
+    uv_timer_t idle_close_timer;       /**< Active while the zone is isolated; see isolation.c. */
     bool ready;
     bool stopping;
     bool refusing; /**< Shutdown: a new call might not complete within the grace time. */
@@ -130,18 +131,18 @@
 /** Handles a complete call request; see call.c. */
 extern const http_listener_handler_t call_listener_handler;
 
-/** directory_duty.c: initializes directory forwarding; called before the peer address listens. */
-void gateway_open_directory(gateway_t *gateway);
+/** directory_role.c: initializes directory forwarding; called before the peer address listens. */
+void gateway_init_directory(gateway_t *gateway);
 /** Follows configuration, back ends and the store group; see directory_watch.c. */
 void gateway_watch_directory(gateway_t *gateway);
-/** Assigns the watch role among gateways; see directory_duty.c. */
-extern const load_sharing_handler_t gateway_watch_sharing;
+/** Assigns the watch role among gateways; see directory_role.c. */
+extern const load_sharing_handler_t gateway_load_sharing_handler;
 /** Applies an item of the key-value service, from any source. */
-void gateway_take_item(gateway_t *gateway, const key_value_item_t *item);
+void gateway_apply_item(gateway_t *gateway, const key_value_item_t *item);
 /** Removes the directory items whose keys are not in the set @p keys. */
 void gateway_retain_items(gateway_t *gateway, GHashTable *keys);
 /** Called when the complete directory was received from the service or another gateway. */
-void gateway_note_listed(gateway_t *gateway);
+void gateway_on_directory_complete(gateway_t *gateway);
 /**
  * True if the key-value service, or a gateway that watches it, has recently confirmed the local
  * view.
@@ -150,11 +151,11 @@
 /** Time since the key-value service confirmed the local view, in ms; UINT32_MAX: unknown. */
 uint32_t gateway_directory_age(const gateway_t *gateway);
 /** Applies a directory kept by a storage node, unless the key-value service has provided one. */
-void gateway_take_directory(void *owner, GBytes *bytes);
+void gateway_apply_stored_directory(void *owner, GBytes *bytes);
 /** The encoded directory for storage nodes to keep; NULL: it is not confirmed. */
-GBytes *gateway_read_directory(void *owner, uint64_t *revision);
-/** directory_duty.c: updates peers and root-cell gateways from a storage node's list. */
-void gateway_take_gateways(void *owner, const GPtrArray *addresses, const GPtrArray *sources);
+GBytes *gateway_encode_directory(void *owner, uint64_t *revision);
+/** directory_role.c: updates peers and root-cell gateways from a storage node's list. */
+void gateway_update_peers(void *owner, const GPtrArray *addresses, const GPtrArray *sources);
 /**
  * True if the gateway's zone is isolated, or if this gateway reaches no quorum of storage nodes
  * while either other gateways do or the key-value service is unreachable as well: other gateways
@@ -162,9 +163,9 @@
  */
 bool gateway_isolated(const gateway_t *gateway);
 /** isolation.c: detects isolation of the zone, if the settings enable it. */
-void gateway_watch_zone(gateway_t *gateway);
+void gateway_watch_isolation(gateway_t *gateway);
 /** Applies a change of the isolation of the zone: readiness, peers and connections of callers. */
-void gateway_note_zone_cut(void *owner, bool cut);
+void gateway_on_zone_isolation(void *owner, bool cut);
 /** Recomputes readiness and logs a change. */
 void gateway_check_ready(gateway_t *gateway);
 /** Serves readiness and metrics; see reports.c. False if an address can't be listened on. */
--- a/src/gateway/isolation.c
+++ b/src/gateway/isolation.c
@@ -15,21 +15,21 @@
     http_listener_close_idle(gateway->calls);
 }
 
-void gateway_watch_zone(gateway_t *gateway) {
-    uv_timer_init(gateway->loop, &gateway->led_elsewhere);
-    gateway->led_elsewhere.data = gateway;
+void gateway_watch_isolation(gateway_t *gateway) {
+    uv_timer_init(gateway->loop, &gateway->idle_close_timer);
+    gateway->idle_close_timer.data = gateway;
     store_client_watch_zone(gateway->stores);
     load_sharing_watch_stores(gateway->load_sharing);
 }
 
-void gateway_note_zone_cut(void *owner, bool isolated) {
+void gateway_on_zone_isolation(void *owner, bool isolated) {
     gateway_t *gateway = owner;
-    gateway->zone_cut_since = isolated ? uv_now(gateway->loop) : 0;
+    gateway->zone_isolated_since = isolated ? uv_now(gateway->loop) : 0;
     gateway_check_ready(gateway);
     load_sharing_check_soon(gateway->load_sharing);
     if (isolated)
-        uv_timer_start(&gateway->led_elsewhere, close_idle_connections, GATEWAY_LED_ELSEWHERE_MS,
-                       IDLE_CHECK_INTERVAL_MS);
+        uv_timer_start(&gateway->idle_close_timer, close_idle_connections,
+                       GATEWAY_REDIRECT_DELAY_MS, IDLE_CHECK_INTERVAL_MS);
     else
-        uv_timer_stop(&gateway->led_elsewhere);
+        uv_timer_stop(&gateway->idle_close_timer);
 }
--- a/src/gateway/load_report.c
+++ b/src/gateway/load_report.c
@@ -6,7 +6,7 @@
     PERIOD_MS = 60,
     PERIOD_EACH_MS = 3, /**< Added for each gateway. */
     CALM_FACTOR = 4,    /**< Multiplies the period while no back end is half full. */
-    SAMPLES_BITS = 8,   /**< Low bits of `out_ms` for the number of samples; the rest: age. */
+    SAMPLES_BITS = 8,   /**< Low bits of `ejected_ms` for the number of samples; the rest: age. */
     SAMPLES_MAX = 255,
     AGE_MAX_MS = 0xffffff,
 };
@@ -17,27 +17,28 @@
     codec_bool(codec, &watch->has_stores);
     codec_bool(codec, &watch->renews);
     uint32_t count = entries->len;
-    codec_count(codec, &count, LOAD_ENTRIES_MAXIMUM);
+    codec_count(codec, &count, LOAD_ENTRIES_MAX);
     if (codec->decoding && !codec->failed)
         g_array_set_size(entries, count);
     for (uint32_t i = 0; i < entries->len && !codec->failed; i++) {
         load_entry_t *entry = &g_array_index(entries, load_entry_t, i);
         codec_uint64(codec, &entry->backend);
         codec_uint32(codec, &entry->under_way);
-        codec_uint32(codec, &entry->out_ms);
+        codec_uint32(codec, &entry->ejected_ms);
     }
 }
 
-load_entry_t load_entry_of_pace(uint64_t incarnation, const speed_estimate_t *pace, uint64_t now) {
+load_entry_t load_entry_from_speed(uint64_t incarnation, const speed_estimate_t *pace,
+                                   uint64_t now) {
     uint64_t age = now > pace->at ? now - pace->at : 0;
     uint32_t samples = MIN(SAMPLES_MAX, pace->samples);
     return (load_entry_t){incarnation, pace->work_us,
                           (uint32_t)MIN(AGE_MAX_MS, age) << SAMPLES_BITS | samples};
 }
 
-speed_estimate_t load_entry_pace(const load_entry_t *entry, uint64_t now) {
-    uint64_t age = entry->out_ms >> SAMPLES_BITS;
-    return (speed_estimate_t){entry->under_way, entry->out_ms & SAMPLES_MAX,
+speed_estimate_t load_entry_speed(const load_entry_t *entry, uint64_t now) {
+    uint64_t age = entry->ejected_ms >> SAMPLES_BITS;
+    return (speed_estimate_t){entry->under_way, entry->ejected_ms & SAMPLES_MAX,
                               now > age ? now - age : 0};
 }
 
--- a/src/gateway/load_report.h
+++ b/src/gateway/load_report.h
@@ -13,26 +13,27 @@
 #include <glib.h>
 
 /** Maximum number of back ends in one datagram. */
-enum { LOAD_ENTRIES_MAXIMUM = 4096 };
+enum { LOAD_ENTRIES_MAX = 4096 };
 
 /**
  * A back end at which the sender has calls in progress, or that it has ejected; or a speed that it
- * measured (load_entry_of_pace), under an id that is no back end's, so that receivers that don't
+ * measured (load_entry_from_speed), under an id that is no back end's, so that receivers that don't
  * know the id skip the entry.
  */
 typedef struct {
     uint64_t backend; /**< backend_t.id_hash. */
     uint32_t under_way;
-    uint32_t out_ms; /**< Remaining time for which the sender ejects the back end. */
+    uint32_t ejected_ms; /**< Remaining time for which the sender ejects the back end. */
 } load_entry_t;
 
 /**
  * The speed measured at the incarnation of a back end with the id @p incarnation; see
  * backend_paces.h.
  */
-load_entry_t load_entry_of_pace(uint64_t incarnation, const speed_estimate_t *pace, uint64_t now);
+load_entry_t load_entry_from_speed(uint64_t incarnation, const speed_estimate_t *pace,
+                                   uint64_t now);
 /** Reads the speed from such an entry. */
-speed_estimate_t load_entry_pace(const load_entry_t *entry, uint64_t now);
+speed_estimate_t load_entry_speed(const load_entry_t *entry, uint64_t now);
 /** Encodes the watch report @p watch and @p entries, of load_entry_t. */
 GBytes *load_report_encode(const watch_report_t *watch, GArray *entries);
 /** Returns false if @p data is no report. */
--- a/src/gateway/load_sharing.c
+++ b/src/gateway/load_sharing.c
@@ -117,7 +117,8 @@
         /* An earlier report may be about the previous incarnation. */
         if (backend->life_at == 0 ||
             peer->last_received_at >= backend->life_at + INCARNATION_SETTLE_MS)
-            ejection_add_report(&backend->ejection, peer->last_received_at + entry->out_ms, now);
+            ejection_add_report(&backend->ejection, peer->last_received_at + entry->ejected_ms,
+                                now);
         g_hash_table_add(sharing->backends->told_of, backend);
     }
 }
@@ -226,10 +227,10 @@
     g_hash_table_iter_init(&iterator, sharing->backends->used);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         backend_t *backend = key;
-        uint32_t out_ms = backend_tell_out_ms(backend);
-        load_entry_t entry = {backend->id_hash, backend->under_way, out_ms};
-        bool any = backend->under_way > 0 || out_ms > 0;
-        if (any && entries->len < LOAD_ENTRIES_MAXIMUM)
+        uint32_t ejected_ms = backend_tell_out_ms(backend);
+        load_entry_t entry = {backend->id_hash, backend->under_way, ejected_ms};
+        bool any = backend->under_way > 0 || ejected_ms > 0;
+        if (any && entries->len < LOAD_ENTRIES_MAX)
             g_array_append_val(entries, entry);
         if (!any)
             g_hash_table_iter_remove(&iterator);
@@ -341,7 +342,7 @@
         check_within(sharing, 0);
 }
 
-void load_sharing_tell_now(load_sharing_t *sharing) {
+void load_sharing_report_now(load_sharing_t *sharing) {
     uint64_t now = uv_now(sharing->loop);
     if (now < sharing->sent_at + URGENT_INTERVAL_MIN_MS)
         return;
--- a/src/gateway/load_sharing.h
+++ b/src/gateway/load_sharing.h
@@ -58,7 +58,7 @@
 bool load_sharing_may_follow(const load_sharing_t *sharing, const struct sockaddr_in *address,
                              uint64_t *last_received_at);
 /** Sends this gateway's report now; for urgent changes. */
-void load_sharing_tell_now(load_sharing_t *sharing);
+void load_sharing_report_now(load_sharing_t *sharing);
 /** Checks in the next loop iteration whether a report is due. */
 void load_sharing_check_soon(load_sharing_t *sharing);
 
--- a/src/gateway/main.c
+++ b/src/gateway/main.c
@@ -62,23 +62,27 @@
 }
 
 static const store_client_handler_t store_handler = {
-    gateway_take_gateways, gateway_take_directory, gateway_read_directory, find_relay, on_answer,
-    gateway_note_zone_cut,
+    gateway_update_peers,
+    gateway_apply_stored_directory,
+    gateway_encode_directory,
+    find_relay,
+    on_answer,
+    gateway_on_zone_isolation,
 };
 
 static bool open_gateway(gateway_t *gateway) {
     const process_settings_t *settings = gateway->settings;
     backends_init(&gateway->backends, gateway->loop, settings->zone, settings->name);
     gateway->load_sharing = load_sharing_open(gateway->loop, &settings->peer, &gateway->backends,
-                                              &gateway_watch_sharing, gateway);
+                                              &gateway_load_sharing_handler, gateway);
     if (gateway->load_sharing == NULL)
         return false;
     gateway->stores = store_client_new(gateway->loop, settings->zone, settings->peer_text,
                                        &store_handler, gateway);
     if (settings->tolerated_zones > 0)
-        gateway_watch_zone(gateway);
+        gateway_watch_isolation(gateway);
     gateway->quotas = quota_client_new(gateway->loop, gateway->stores, &settings->quota);
-    gateway_open_directory(gateway);
+    gateway_init_directory(gateway);
     gateway->relay =
         store_relay_open(gateway->loop, &settings->peer, gateway->stores, gateway->feed);
     if (gateway->relay == NULL)
--- a/src/gateway/reports.c
+++ b/src/gateway/reports.c
@@ -37,22 +37,22 @@
 /** Records when the quorum of storage nodes was lost, and then checks the key-value service. */
 static void update_store_state(gateway_t *gateway) {
     if (store_client_connected(gateway->stores)) {
-        gateway->stores_lost_at = 0;
+        gateway->stores_unreachable_since = 0;
         return;
     }
-    if (gateway->stores_lost_at > 0 || !gateway->stores_reached)
+    if (gateway->stores_unreachable_since > 0 || !gateway->stores_reached)
         return;
-    gateway->stores_lost_at = uv_now(gateway->loop);
+    gateway->stores_unreachable_since = uv_now(gateway->loop);
     if (gateway->watch != NULL)
         key_value_watch_renew(gateway->watch);
 }
 
 bool gateway_isolated(const gateway_t *gateway) {
-    if (gateway->zone_cut_since > 0)
+    if (gateway->zone_isolated_since > 0)
         return true;
-    bool lost = gateway->stores_lost_at > 0 &&
-                uv_now(gateway->loop) >= gateway->stores_lost_at + ISOLATED_AFTER_MS;
-    return lost && (gateway->others_have_stores || !gateway->key_value_reachable);
+    bool lost = gateway->stores_unreachable_since > 0 &&
+                uv_now(gateway->loop) >= gateway->stores_unreachable_since + ISOLATED_AFTER_MS;
+    return lost && (gateway->peers_reach_stores || !gateway->key_value_reachable);
 }
 
 void gateway_check_ready(gateway_t *gateway) {
@@ -111,7 +111,7 @@
     metrics_append(text, "backends", backends_count(&gateway->backends));
     append_speed_metrics(gateway, text);
     metrics_append(text, "stores_connected", store_client_connected(gateway->stores));
-    metrics_append(text, "zone_cut", gateway->zone_cut_since > 0);
+    metrics_append(text, "zone_cut", gateway->zone_isolated_since > 0);
     metrics_append(text, "store_relays", store_relay_count(gateway->relay));
     metrics_append(text, "calls_active", http_listener_active(gateway->calls));
     metrics_append(text, "caller_connections", http_listener_connections(gateway->calls));
--- a/src/gateway/zone_loads.c
+++ b/src/gateway/zone_loads.c
@@ -173,7 +173,7 @@
     GHashTableIter iterator;
     gpointer sum;
     g_hash_table_iter_init(&iterator, loads->sums);
-    while (g_hash_table_iter_next(&iterator, NULL, &sum) && entries->len < LOAD_ENTRIES_MAXIMUM)
+    while (g_hash_table_iter_next(&iterator, NULL, &sum) && entries->len < LOAD_ENTRIES_MAX)
         g_array_append_vals(entries, sum, 1);
     const watch_report_t watch = {.answer_age = UINT32_MAX};
     GBytes *bytes = load_report_encode(&watch, entries);
--- a/tests/unit/backend_paces_test.cc
+++ b/tests/unit/backend_paces_test.cc
@@ -315,7 +315,7 @@
     ASSERT_EQ(entries->len, 2U);
     EXPECT_EQ(g_array_index(entries, load_entry_t, 0).under_way, 3U);
     EXPECT_EQ(g_array_index(entries, load_entry_t, 1).backend, 42U);
-    EXPECT_EQ(g_array_index(entries, load_entry_t, 1).out_ms, 500U);
+    EXPECT_EQ(g_array_index(entries, load_entry_t, 1).ejected_ms, 500U);
     GBytes *again = load_report_encode(&watch, entries);
     EXPECT_EQ(g_bytes_get_size(again), bytes.size());
     EXPECT_EQ(memcmp(g_bytes_get_data(again, nullptr), bytes.data(), bytes.size()), 0);
@@ -338,7 +338,7 @@
     const void *data = g_bytes_get_data(bytes, &length);
     ASSERT_TRUE(load_report_decode(&watch, read, data, length));
     ASSERT_EQ(read->len, 1U);
-    speed_estimate_t pace = load_entry_pace(&g_array_index(read, load_entry_t, 0), 5000);
+    speed_estimate_t pace = load_entry_speed(&g_array_index(read, load_entry_t, 0), 5000);
     EXPECT_EQ(pace.work_us, 3000U);
     EXPECT_EQ(pace.samples, 1U);
     EXPECT_LE(pace.at, 5000U);
@@ -349,8 +349,8 @@
 
 TEST(LoadReport, TheAgeOfASpeedEntryIsPreserved) {
     speed_estimate_t pace = {1234567, 300, 90000};
-    load_entry_t entry = load_entry_of_pace(7, &pace, 100000);
-    speed_estimate_t read = load_entry_pace(&entry, 500000);
+    load_entry_t entry = load_entry_from_speed(7, &pace, 100000);
+    speed_estimate_t read = load_entry_speed(&entry, 500000);
     EXPECT_EQ(read.work_us, 1234567U);
     EXPECT_EQ(read.samples, 255U);
     EXPECT_EQ(read.at, 490000U);
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -420,19 +420,19 @@
     gateway.loop = &loop;
     gateway.key_value_reachable = true;
     EXPECT_FALSE(gateway_isolated(&gateway)) << "it has not lost the storage nodes";
-    gateway.others_have_stores = true;
+    gateway.peers_reach_stores = true;
     EXPECT_FALSE(gateway_isolated(&gateway));
-    gateway.stores_lost_at = uv_now(&loop) - 1000;
+    gateway.stores_unreachable_since = uv_now(&loop) - 1000;
     EXPECT_TRUE(gateway_isolated(&gateway)) << "another gateway reaches them";
-    gateway.others_have_stores = false;
+    gateway.peers_reach_stores = false;
     EXPECT_FALSE(gateway_isolated(&gateway)) << "all gateways have lost them and stay ready";
     gateway.key_value_reachable = false;
     EXPECT_TRUE(gateway_isolated(&gateway)) << "it reaches nothing";
-    gateway.stores_lost_at = uv_now(&loop);
+    gateway.stores_unreachable_since = uv_now(&loop);
     EXPECT_FALSE(gateway_isolated(&gateway)) << "the loss is too recent";
     gateway.key_value_reachable = true;
-    gateway.stores_lost_at = 0;
-    gateway.zone_cut_since = 1;
+    gateway.stores_unreachable_since = 0;
+    gateway.zone_isolated_since = 1;
     EXPECT_TRUE(gateway_isolated(&gateway)) << "the zone is isolated, whatever else is reached";
     uv_loop_close(&loop);
 }
