--- a/src/directorysim/stubs.c
+++ b/src/directorysim/stubs.c
@@ -3,7 +3,7 @@
  * the adapter, in short: storage nodes that are always reached and keep what gateways offer, back
  * ends that are counted at most, a configuration that is its version's number.
  */
-#include "gateway/backend_paces.h"
+#include "gateway/backend_speeds.h"
 #include "directorysim/world.h"
 
 #include <stdlib.h>
@@ -113,10 +113,10 @@
     (void)zone;
     (void)gateway;
     backends->loop = loop;
-    backends->used = g_hash_table_new(NULL, NULL);
-    backends->told_of = g_hash_table_new(NULL, NULL);
+    backends->to_report = g_hash_table_new(NULL, NULL);
+    backends->reported_by_peers = g_hash_table_new(NULL, NULL);
     if (world.load != LOAD_IDLE)
-        g_hash_table_add(backends->used, &some_backend);
+        g_hash_table_add(backends->to_report, &some_backend);
 }
 
 void backends_update(backends_t *backends, backend_record_t *record) {
@@ -129,14 +129,14 @@
     (void)instance;
 }
 
-bool backends_lapse(backends_t *backends, const char *instance, uint64_t until) {
+bool backends_expire_entry(backends_t *backends, const char *instance, uint64_t until) {
     (void)backends;
     (void)instance;
     (void)until;
     return true;
 }
 
-unsigned backends_expire_lapsed(backends_t *backends) {
+unsigned backends_remove_expired(backends_t *backends) {
     (void)backends;
     return 0;
 }
@@ -157,20 +157,21 @@
     return world.load == LOAD_HEAVY;
 }
 
-void backend_paces_tell(backends_t *backends, GArray *entries, unsigned gateways) {
+void backend_speeds_append_report(backends_t *backends, GArray *entries, unsigned gateways) {
     (void)backends;
     (void)entries;
     (void)gateways;
 }
 
-bool backend_paces_note_told(backends_t *backends, const load_entry_t *entry, uint64_t teller) {
+bool backend_speeds_record_report(backends_t *backends, const load_entry_t *entry,
+                                  uint64_t teller) {
     (void)backends;
     (void)entry;
     (void)teller;
     return false;
 }
 
-uint32_t backend_tell_out_ms(backend_t *backend) {
+uint32_t backend_ejection_report_ms(backend_t *backend) {
     (void)backend;
     return 0;
 }
--- a/src/gateway/backend_choice.c
+++ b/src/gateway/backend_choice.c
@@ -40,7 +40,8 @@
 }
 
 static bool usable(const backend_t *backend, const backend_choice_t *choice) {
-    bool expired = backend->lapsed_until > 0 && uv_now(backend->loop) >= backend->lapsed_until;
+    bool expired =
+        backend->expiry_grace_end > 0 && uv_now(backend->loop) >= backend->expiry_grace_end;
     if (backend->record->leaving || expired)
         return false;
     return choice->excluded == NULL ||
@@ -57,7 +58,7 @@
         .local = backend->local,
         .avoided = avoided,
         .speed_percent = candidates->speeds ? backend_speed(backend) : 0,
-        .answer_ms = candidates->speeds ? backend_usual_answer_ms(backend) : 0,
+        .answer_ms = candidates->speeds ? backend_typical_answer_ms(backend) : 0,
     };
     g_array_append_val(candidates->services, candidate);
 }
@@ -70,7 +71,7 @@
         .slots = backend_slots(backend, choice->slots),
         .local = backend->local,
         .avoided = avoided,
-        .down = backend_down(backend),
+        .down = backend_is_down(backend),
     };
     g_array_append_val(candidates->engines, candidate);
 }
@@ -82,7 +83,7 @@
                     add_candidate_t add) {
     if (!usable(backend, choice))
         return;
-    bool avoided = backend_avoided(backend);
+    bool avoided = backend_is_avoided(backend);
     candidates->avoided += avoided;
     g_ptr_array_add(candidates->backends, backend);
     add(candidates, backend, choice, avoided);
@@ -103,7 +104,7 @@
     if (!found)
         return NULL;
     backend_t *backend = g_ptr_array_index(candidates->backends, index);
-    backend_take(backend);
+    backend_acquire(backend);
     return backend;
 }
 
@@ -124,11 +125,11 @@
     candidates_t candidates;
     unsigned index = 0;
     candidates_init(&candidates);
-    candidates.speeds = backends_tell_lives(backends, choice->service);
+    candidates.speeds = backends_report_start_times(backends, choice->service);
     add_list(&candidates, members->local, choice, add_service);
     bool found = choose_service(&candidates, backends->seed, &index);
     if (!found || avoidance_is_doubtful(&candidates) || !local_is_best(&candidates, index)) {
-        add_list(&candidates, members->far, choice, add_service);
+        add_list(&candidates, members->remote, choice, add_service);
         found = choose_service(&candidates, backends->seed, &index);
     }
     backend_t *backend = take_candidate(&candidates, found, index);
@@ -180,9 +181,9 @@
         add_one(&candidates, last_engine, choice, add_engine);
     bool found = choose_engine(&candidates, request, &index);
     if (!found || !local_engine_suffices(&candidates, request, index)) {
-        for (guint i = 0; i < members->far->len; i++)
-            if (g_ptr_array_index(members->far, i) != last_engine)
-                add_one(&candidates, g_ptr_array_index(members->far, i), choice, add_engine);
+        for (guint i = 0; i < members->remote->len; i++)
+            if (g_ptr_array_index(members->remote, i) != last_engine)
+                add_one(&candidates, g_ptr_array_index(members->remote, i), choice, add_engine);
         found = choose_engine(&candidates, request, &index);
     }
     backend_t *backend = take_candidate(&candidates, found, index);
@@ -196,7 +197,7 @@
 typedef struct {
     GArray *options;     /**< Of engine_option_t. */
     GPtrArray *backends; /**< Of backend_t. */
-    const engine_baseline_t *usual;
+    const engine_baseline_t *baseline;
 } engine_options_t;
 
 static void add_option(engine_options_t *engines, backend_t *backend,
@@ -205,10 +206,10 @@
         return;
     engine_option_t option = {
         .id = backend->id_hash,
-        .state = engine_load_state(backend, engines->usual, choice->slots),
+        .state = engine_load_state(backend, engines->baseline, choice->slots),
         .local = backend->local,
-        .avoided = backend_avoided(backend),
-        .down = backend_down(backend),
+        .avoided = backend_is_avoided(backend),
+        .down = backend_is_down(backend),
     };
     g_array_append_val(engines->options, option);
     g_ptr_array_add(engines->backends, backend);
@@ -218,7 +219,7 @@
 static void add_sampled_remote(engine_options_t *engines, const GPtrArray *remote,
                                const backend_t *last_engine, const backend_choice_t *choice,
                                uint64_t sample) {
-    guint count = MIN(remote->len, ENGINES_FAR_DRAWN);
+    guint count = MIN(remote->len, REMOTE_ENGINE_SAMPLES);
     for (guint i = 0; i < count; i++) {
         guint index = (guint)((sample + (uint64_t)i * remote->len / count) % remote->len);
         backend_t *backend = g_ptr_array_index(remote, index);
@@ -235,10 +236,10 @@
 
 static void describe_service(backends_t *backends, service_members_t *members,
                              placement_request_t *request) {
-    uint64_t count = members->draws++;
+    uint64_t count = members->sample_counter++;
     request->random_bits = XXH64(&count, sizeof count, backends->seed);
-    request->turn.turn_ms = engine_baseline_turn_ms(&members->usual);
-    request->turn.tokens_per_ms = engine_baseline_tokens_per_ms(&members->usual);
+    request->turn.turn_ms = engine_baseline_turn_ms(&members->baseline);
+    request->turn.tokens_per_ms = engine_baseline_tokens_per_ms(&members->baseline);
 }
 
 /** Places the turn in the local zone, or also considers remote engines if that is not enough. */
@@ -252,7 +253,7 @@
     placement_t placement = place_among(engines, request);
     if (placement.outcome == PLACEMENT_FOUND && !placement.try_remote)
         return placement;
-    add_sampled_remote(engines, members->far, last_engine, choice, request->random_bits);
+    add_sampled_remote(engines, members->remote, last_engine, choice, request->random_bits);
     return place_among(engines, request);
 }
 
@@ -266,7 +267,7 @@
     engine_options_t engines = {
         .options = g_array_new(FALSE, FALSE, sizeof(engine_option_t)),
         .backends = g_ptr_array_new(),
-        .usual = &members->usual,
+        .baseline = &members->baseline,
     };
     const engine_request_t last_request = {.place = request->place};
     *placement = place_in_zones(
@@ -274,7 +275,7 @@
     backend_t *backend = NULL;
     if (placement->outcome == PLACEMENT_FOUND) {
         backend = g_ptr_array_index(engines.backends, placement->chosen);
-        backend_take(backend);
+        backend_acquire(backend);
     }
     g_array_free(engines.options, TRUE);
     g_ptr_array_free(engines.backends, TRUE);
--- a/src/gateway/backend_probe.c
+++ b/src/gateway/backend_probe.c
@@ -30,7 +30,7 @@
     backend->probe_failures = 0;
     backend->unreachable_at = uv_now(backend->loop);
     event_log(BACKEND_EJECTED, backend->record->instance, 0U, "unreachable");
-    backend_note_reset(backend);
+    backend_record_reset(backend);
 }
 
 void backend_probe_stop(backend_t *backend) {
@@ -49,6 +49,6 @@
         open_probe(backend);
 }
 
-bool backend_unreachable_since(const backend_t *backend, uint64_t since) {
+bool backend_found_unreachable_since(const backend_t *backend, uint64_t since) {
     return backend->unreachable_at > 0 && backend->unreachable_at >= since;
 }
--- a/src/gateway/backend_probe.h
+++ b/src/gateway/backend_probe.h
@@ -13,7 +13,7 @@
 /** Starts a probe, unless one is active or was started recently. */
 void backend_probe(backend_t *backend);
 /** True if probes found the back end unreachable at or after @p since, loop time in ms. */
-bool backend_unreachable_since(const backend_t *backend, uint64_t since);
+bool backend_found_unreachable_since(const backend_t *backend, uint64_t since);
 /** Cancels an active probe. */
 void backend_probe_stop(backend_t *backend);
 
--- a/src/gateway/backend_paces.c
+++ b/src/gateway/backend_speeds.c
@@ -1,4 +1,4 @@
-#include "gateway/backend_paces.h"
+#include "gateway/backend_speeds.h"
 
 #include "common/event.h"
 #include "core/routing/backend_speed.h"
@@ -67,7 +67,7 @@
     uint64_t credited_at;
     uint64_t credit_bytes;
     uint64_t refreshed_at;
-    backend_pace_counts_t counts;
+    backend_speed_counts_t counts;
 };
 
 static void free_service(gpointer data) {
@@ -117,7 +117,7 @@
         g_hash_table_remove(by_incarnation, &backend->incarnation_id);
 }
 
-void backend_speeds_update_record(backend_t *backend) {
+void backend_speeds_update_incarnation(backend_t *backend) {
     uint64_t id = compute_incarnation_id(backend);
     if (id == backend->incarnation_id)
         return;
@@ -158,7 +158,7 @@
 
 /** True if a call sent at @p sent_at is a measurement of the current incarnation. */
 static bool measurable(const backend_t *backend, uint64_t sent_at) {
-    return backend->incarnation_id != 0 && sent_at >= backend->life_at;
+    return backend->incarnation_id != 0 && sent_at >= backend->incarnation_since;
 }
 
 /** Records a sample; @p load: other concurrent calls at the back end. */
@@ -181,10 +181,10 @@
     g_queue_push_tail(&speeds->to_report, backend);
 }
 
-void backend_paces_note_stream(backend_t *backend, uint32_t event_us, uint64_t sent_at) {
+void backend_speeds_record_stream(backend_t *backend, uint32_t event_us, uint64_t sent_at) {
     if (!measurable(backend, sent_at) || event_us == 0)
         return;
-    unsigned calls = backend->under_way + backend->elsewhere;
+    unsigned calls = backend->under_way + backend->peer_calls;
     record_sample(backend, event_us, calls > 0 ? calls - 1 : 0);
 }
 
@@ -199,7 +199,7 @@
     return route;
 }
 
-void backend_paces_note_answer(backend_t *backend, const char *route, uint64_t sent_at) {
+void backend_speeds_record_answer(backend_t *backend, const char *route, uint64_t sent_at) {
     if (!measurable(backend, sent_at))
         return;
     backend_speeds_t *speeds = backend->owner->speeds;
@@ -217,12 +217,12 @@
 /** Refills the token bucket of report bytes; its capacity is one full datagram to each gateway. */
 static void refill_credit(backend_speeds_t *speeds, unsigned gateways, uint64_t now) {
     uint64_t max_bytes = (uint64_t)REPORT_ENTRIES_MAX * ENTRY_BYTES * gateways;
-    uint64_t earned = (now - speeds->credited_at) * BACKEND_PACES_BYTES_A_S / MS_PER_S;
+    uint64_t earned = (now - speeds->credited_at) * BACKEND_SPEEDS_BYTES_PER_S / MS_PER_S;
     speeds->credited_at = now;
     speeds->credit_bytes = MIN(max_bytes, speeds->credit_bytes + earned);
 }
 
-void backend_paces_tell(backends_t *backends, GArray *entries, unsigned gateways) {
+void backend_speeds_append_report(backends_t *backends, GArray *entries, unsigned gateways) {
     backend_speeds_t *speeds = backends->speeds;
     uint64_t now = uv_now(backends->loop);
     uint64_t bytes = (uint64_t)ENTRY_BYTES * gateways;
@@ -252,7 +252,8 @@
     return oldest;
 }
 
-bool backend_paces_note_told(backends_t *backends, const load_entry_t *entry, uint64_t sender) {
+bool backend_speeds_record_report(backends_t *backends, const load_entry_t *entry,
+                                  uint64_t sender) {
     backend_t *backend = g_hash_table_lookup(backends->speeds->by_incarnation, &entry->backend);
     if (backend == NULL)
         return false;
@@ -337,7 +338,7 @@
     speeds->refreshed_at = now;
     merge_all(speeds, now);
     compute_typical(speeds);
-    speeds->counts = (backend_pace_counts_t){.measured = g_hash_table_size(speeds->measured)};
+    speeds->counts = (backend_speed_counts_t){.measured = g_hash_table_size(speeds->measured)};
     unsigned logged = 0;
     GHashTableIter iterator;
     gpointer key;
@@ -361,11 +362,11 @@
     return backend->speed == NULL ? BACKEND_SPEED_TYPICAL_PERCENT : backend->speed->percent;
 }
 
-unsigned backend_usual_answer_ms(const backend_t *backend) {
+unsigned backend_typical_answer_ms(const backend_t *backend) {
     return backend->speed == NULL ? 0 : backend->speed->service->typical_answer_ms;
 }
 
-backend_pace_counts_t backend_paces_count(backends_t *backends) {
+backend_speed_counts_t backend_speeds_count(backends_t *backends) {
     refresh(backends->speeds, uv_now(backends->loop));
     return backends->speeds->counts;
 }
--- a/src/gateway/backend_paces.h
+++ b/src/gateway/backend_speeds.h
@@ -1,5 +1,5 @@
 /**
- * @file backend_paces.h
+ * @file backend_speeds.h
  * Speeds of back ends, measured by this gateway and merged with the measurements of the others: see
  * core/routing/backend_speed.h. Only back ends that report a start time are measured.
  *
@@ -14,14 +14,14 @@
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
-#ifndef RUDDERWAY_GATEWAY_BACKEND_PACES_H
-#define RUDDERWAY_GATEWAY_BACKEND_PACES_H
+#ifndef RUDDERWAY_GATEWAY_BACKEND_SPEEDS_H
+#define RUDDERWAY_GATEWAY_BACKEND_SPEEDS_H
 
 #include "gateway/backends.h"
 #include "gateway/load_report.h"
 
 /** Limit of the bytes per second that a gateway sends to all others for speeds. */
-enum { BACKEND_PACES_BYTES_A_S = 1000 };
+enum { BACKEND_SPEEDS_BYTES_PER_S = 1000 };
 
 typedef struct backend_speeds backend_speeds_t;
 
@@ -30,22 +30,22 @@
     unsigned measured;
     unsigned slow; /**< Below half of the typical speed. */
     unsigned fast; /**< Above double. */
-} backend_pace_counts_t;
+} backend_speed_counts_t;
 
 backend_speeds_t *backend_speeds_new(void);
 void backend_speeds_free(backend_speeds_t *speeds);
 /** Applies a new or changed directory record; discards the measurements of earlier incarnations. */
-void backend_speeds_update_record(backend_t *backend);
+void backend_speeds_update_incarnation(backend_t *backend);
 /** Discards the measurements of a back end and its incarnation id. */
 void backend_speeds_remove(backend_t *backend);
 /** Records the response time of a call of @p route that was sent at @p sent_at. */
-void backend_paces_note_answer(backend_t *backend, const char *route, uint64_t sent_at);
+void backend_speeds_record_answer(backend_t *backend, const char *route, uint64_t sent_at);
 /** A stream whose call was sent at @p sent_at generated events, one per @p event_us on average. */
-void backend_paces_note_stream(backend_t *backend, uint32_t event_us, uint64_t sent_at);
+void backend_speeds_record_stream(backend_t *backend, uint32_t event_us, uint64_t sent_at);
 /** Appends the load_entry_t to send now to each of the @p gateways others. */
-void backend_paces_tell(backends_t *backends, GArray *entries, unsigned gateways);
+void backend_speeds_append_report(backends_t *backends, GArray *entries, unsigned gateways);
 /** Records an entry of the gateway @p sender; false if no back end has its incarnation id. */
-bool backend_paces_note_told(backends_t *backends, const load_entry_t *entry, uint64_t sender);
-backend_pace_counts_t backend_paces_count(backends_t *backends);
+bool backend_speeds_record_report(backends_t *backends, const load_entry_t *entry, uint64_t sender);
+backend_speed_counts_t backend_speeds_count(backends_t *backends);
 
 #endif
--- a/src/gateway/backends.c
+++ b/src/gateway/backends.c
@@ -1,7 +1,7 @@
 #include "gateway/backends.h"
 
 #include "common/event.h"
-#include "gateway/backend_paces.h"
+#include "gateway/backend_speeds.h"
 #include "gateway/backend_probe.h"
 
 #include <string.h>
@@ -21,7 +21,7 @@
 static void free_members(gpointer data) {
     service_members_t *members = data;
     g_ptr_array_free(members->local, TRUE);
-    g_ptr_array_free(members->far, TRUE);
+    g_ptr_array_free(members->remote, TRUE);
     g_free(members);
 }
 
@@ -31,7 +31,7 @@
         return members;
     members = g_new0(service_members_t, 1);
     members->local = g_ptr_array_new();
-    members->far = g_ptr_array_new();
+    members->remote = g_ptr_array_new();
     g_hash_table_insert(backends->by_service, g_strdup(service), members);
     return members;
 }
@@ -49,7 +49,7 @@
     if (counter != NULL)
         ++*counter;
     backend->local = strcmp(backend->record->zone, backends->zone) == 0;
-    backend->list = backend->local ? members->local : members->far;
+    backend->list = backend->local ? members->local : members->remote;
     backend->list_index = backend->list->len;
     g_ptr_array_add(backend->list, backend);
 }
@@ -72,9 +72,9 @@
     backends->by_instance = g_hash_table_new(g_str_hash, g_str_equal);
     backends->by_hash = g_hash_table_new(g_int64_hash, g_int64_equal);
     backends->by_service = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_members);
-    backends->told_of = g_hash_table_new(NULL, NULL);
-    backends->lapsed = g_hash_table_new(NULL, NULL);
-    backends->used = g_hash_table_new(NULL, NULL);
+    backends->reported_by_peers = g_hash_table_new(NULL, NULL);
+    backends->expired = g_hash_table_new(NULL, NULL);
+    backends->to_report = g_hash_table_new(NULL, NULL);
     backends->speeds = backend_speeds_new();
     backends->seed = XXH64(gateway, strlen(gateway), 0);
     backends->connections_opened = 0;
@@ -100,7 +100,7 @@
 void backend_release(backend_t *backend) {
     backend->under_way--;
     backend->owner->changes++;
-    if (backend->gone || backend->record->leaving)
+    if (backend->removed || backend->record->leaving)
         close_idle(backend);
     unref(backend);
 }
@@ -114,13 +114,13 @@
 
 /** Discards the state of the previous incarnation; its active calls keep their references. */
 static void start_incarnation(backend_t *backend) {
-    event_log(BACKEND_NEW_LIFE, backend->record->instance, backend->under_way,
+    event_log(BACKEND_RESTARTED, backend->record->instance, backend->under_way,
               backend_speed(backend));
-    backend->life_at = uv_now(backend->loop);
-    backend->signs = (backend_activity_t){0};
+    backend->incarnation_since = uv_now(backend->loop);
+    backend->observed = (backend_activity_t){0};
     backend->ejection = (ejection_t){0};
-    backend->told_out = false;
-    backend->elsewhere = 0;
+    backend->ejected_by_peers = false;
+    backend->peer_calls = 0;
     backend->overdue = false;
     backend->unreachable_at = 0;
     g_queue_clear(&backend->unanswered);
@@ -142,11 +142,11 @@
         g_hash_table_insert(backends->by_instance, record->instance, backend);
         g_hash_table_insert(backends->by_hash, &backend->id_hash, backend);
         add_to_index(backends, backend);
-        backend_speeds_update_record(backend);
+        backend_speeds_update_incarnation(backend);
         return;
     }
-    backend->lapsed_until = 0;
-    g_hash_table_remove(backends->lapsed, backend);
+    backend->expiry_grace_end = 0;
+    g_hash_table_remove(backends->expired, backend);
     if (has_restarted(backend, record))
         start_incarnation(backend);
     remove_from_index(backend);
@@ -155,7 +155,7 @@
     backend->record = record;
     g_hash_table_insert(backends->by_instance, record->instance, backend);
     add_to_index(backends, backend);
-    backend_speeds_update_record(backend);
+    backend_speeds_update_incarnation(backend);
     if (record->leaving)
         close_idle(backend);
 }
@@ -166,17 +166,17 @@
         return;
     g_hash_table_remove(backends->by_instance, instance);
     g_hash_table_remove(backends->by_hash, &backend->id_hash);
-    g_hash_table_remove(backends->told_of, backend);
-    g_hash_table_remove(backends->used, backend);
-    g_hash_table_remove(backends->lapsed, backend);
+    g_hash_table_remove(backends->reported_by_peers, backend);
+    g_hash_table_remove(backends->to_report, backend);
+    g_hash_table_remove(backends->expired, backend);
     backend_speeds_remove(backend);
     remove_from_index(backend);
-    backend->gone = true;
+    backend->removed = true;
     close_idle(backend);
     unref(backend);
 }
 
-bool backends_lapse(backends_t *backends, const char *instance, uint64_t until) {
+bool backends_expire_entry(backends_t *backends, const char *instance, uint64_t until) {
     backend_t *backend = g_hash_table_lookup(backends->by_instance, instance);
     if (backend == NULL)
         return false;
@@ -184,24 +184,24 @@
         backends_remove(backends, instance);
         return false;
     }
-    if (backend->lapsed_until == 0)
-        backend->lapsed_until = until;
-    g_hash_table_add(backends->lapsed, backend);
+    if (backend->expiry_grace_end == 0)
+        backend->expiry_grace_end = until;
+    g_hash_table_add(backends->expired, backend);
     return true;
 }
 
-unsigned backends_expire_lapsed(backends_t *backends) {
+unsigned backends_remove_expired(backends_t *backends) {
     uint64_t now = uv_now(backends->loop);
     unsigned removed = 0;
-    GList *lapsed = g_hash_table_get_keys(backends->lapsed);
-    for (const GList *item = lapsed; item != NULL; item = item->next) {
+    GList *expired = g_hash_table_get_keys(backends->expired);
+    for (const GList *item = expired; item != NULL; item = item->next) {
         const backend_t *backend = item->data;
-        if (now < backend->lapsed_until)
+        if (now < backend->expiry_grace_end)
             continue;
         removed++;
         backends_remove(backends, backend->record->instance);
     }
-    g_list_free(lapsed);
+    g_list_free(expired);
     return removed;
 }
 
@@ -224,9 +224,9 @@
     g_hash_table_destroy(backends->by_instance);
     g_hash_table_destroy(backends->by_hash);
     g_hash_table_destroy(backends->by_service);
-    g_hash_table_destroy(backends->told_of);
-    g_hash_table_destroy(backends->lapsed);
-    g_hash_table_destroy(backends->used);
+    g_hash_table_destroy(backends->reported_by_peers);
+    g_hash_table_destroy(backends->expired);
+    g_hash_table_destroy(backends->to_report);
     backend_speeds_free(backends->speeds);
     g_free(backends->zone);
 }
@@ -247,20 +247,20 @@
     g_hash_table_iter_init(&iterator, set);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         const backend_t *backend = key;
-        if (2 * (backend->under_way + backend->elsewhere) >= backend_slots(backend, 0))
+        if (2 * (backend->under_way + backend->peer_calls) >= backend_slots(backend, 0))
             return true;
     }
     return false;
 }
 
 bool backends_half_full(const backends_t *backends) {
-    return any_half_occupied(backends->told_of) || any_half_occupied(backends->used);
+    return any_half_occupied(backends->reported_by_peers) || any_half_occupied(backends->to_report);
 }
 
 /** True if the oldest unanswered request is overdue; logs when that begins. */
 static bool is_overdue(backend_t *backend, uint64_t now) {
     const uint64_t *oldest = g_queue_peek_head(&backend->unanswered);
-    uint64_t timeout = MAX(OVERDUE_MIN_MS, OVERDUE_FACTOR * (uint64_t)backend->signs.answer_ms);
+    uint64_t timeout = MAX(OVERDUE_MIN_MS, OVERDUE_FACTOR * (uint64_t)backend->observed.answer_ms);
     bool late = oldest != NULL && now > *oldest + timeout;
     if (late && !backend->overdue)
         event_log(BACKEND_EJECTED, backend->record->instance, 0U, "overdue");
@@ -268,61 +268,61 @@
     return late;
 }
 
-uint32_t backend_tell_out_ms(backend_t *backend) {
+uint32_t backend_ejection_report_ms(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
     uint32_t ejection_ms = ejection_remaining_ms(&backend->ejection, now);
     return is_overdue(backend, now) ? MAX(ejection_ms, OVERDUE_REPORT_MS) : ejection_ms;
 }
 
-bool backend_down(backend_t *backend) {
+bool backend_is_down(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
-    bool unreachable = backend->unreachable_at > backend->signs.last_received_at &&
+    bool unreachable = backend->unreachable_at > backend->observed.last_received_at &&
                        now < backend->unreachable_at + UNREACHABLE_VALID_MS;
-    bool unresponsive = now > backend->signs.last_received_at + UNRESPONSIVE_MS;
+    bool unresponsive = now > backend->observed.last_received_at + UNRESPONSIVE_MS;
     return unreachable || (unresponsive && is_overdue(backend, now));
 }
 
-bool backend_avoided(backend_t *backend) {
+bool backend_is_avoided(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
-    return ejection_is_active(&backend->ejection, now) || backend_down(backend) ||
+    return ejection_is_active(&backend->ejection, now) || backend_is_down(backend) ||
            is_overdue(backend, now);
 }
 
 /** Includes the back end in reports to other gateways until there is nothing left to report. */
 static void mark_for_report(backend_t *backend) {
-    if (!backend->gone)
-        g_hash_table_add(backend->owner->used, backend);
+    if (!backend->removed)
+        g_hash_table_add(backend->owner->to_report, backend);
     backend->owner->changes++;
 }
 
-void backend_take(backend_t *backend) {
+void backend_acquire(backend_t *backend) {
     backend->references++;
     backend->under_way++;
     mark_for_report(backend);
 }
 
-void backend_send_begun(backend_t *backend, const uint64_t *sent_at) {
+void backend_request_sent(backend_t *backend, const uint64_t *sent_at) {
     g_queue_push_tail(&backend->unanswered, (gpointer)sent_at);
 }
 
-void backend_send_ended(backend_t *backend, const uint64_t *sent_at) {
+void backend_request_ended(backend_t *backend, const uint64_t *sent_at) {
     g_queue_remove(&backend->unanswered, sent_at);
 }
 
-void backend_send_answered(backend_t *backend, const uint64_t *sent_at) {
-    backend_send_ended(backend, sent_at);
-    if (*sent_at < backend->life_at)
+void backend_response_started(backend_t *backend, const uint64_t *sent_at) {
+    backend_request_ended(backend, sent_at);
+    if (*sent_at < backend->incarnation_since)
         return;
-    backend->signs.answered_sent_at = MAX(backend->signs.answered_sent_at, *sent_at);
+    backend->observed.answered_sent_at = MAX(backend->observed.answered_sent_at, *sent_at);
     uint32_t ms = (uint32_t)(uv_now(backend->loop) - *sent_at);
-    if (backend->signs.answer_ms == 0)
-        backend->signs.answer_ms = ms;
+    if (backend->observed.answer_ms == 0)
+        backend->observed.answer_ms = ms;
     else
-        backend->signs.answer_ms =
-            (backend->signs.answer_ms * (SMOOTHING_DIVISOR - 1) + ms) / SMOOTHING_DIVISOR;
+        backend->observed.answer_ms =
+            (backend->observed.answer_ms * (SMOOTHING_DIVISOR - 1) + ms) / SMOOTHING_DIVISOR;
 }
 
-void backend_note_reset(backend_t *backend) {
+void backend_record_reset(backend_t *backend) {
     uint64_t now = uv_now(backend->loop);
     ejection_record_reset(&backend->ejection, now);
     event_log(BACKEND_EJECTED, backend->record->instance,
@@ -348,8 +348,8 @@
     return http_client_open(backend->loop, &backend->record->address, on_idle_closed, backend);
 }
 
-void backend_keep(backend_t *backend, http_client_t *client) {
-    bool keep = http_client_reusable(client) && !backend->gone && !backend->record->leaving &&
+void backend_return_connection(backend_t *backend, http_client_t *client) {
+    bool keep = http_client_reusable(client) && !backend->removed && !backend->record->leaving &&
                 backend->idle->len < IDLE_CONNECTIONS_MAX;
     if (keep)
         g_ptr_array_add(backend->idle, client);
--- a/src/gateway/backends.h
+++ b/src/gateway/backends.h
@@ -24,31 +24,32 @@
 /** The back ends of one service. */
 typedef struct {
     GPtrArray *local;            /**< In the gateway's zone; of backend_t. */
-    GPtrArray *far;              /**< In other zones; of backend_t. */
-    engine_baseline_t usual;     /**< Running baseline of its turns; see engine_load.h. */
+    GPtrArray *remote;           /**< In other zones; of backend_t. */
+    engine_baseline_t baseline;  /**< Running baseline of its turns; see engine_load.h. */
     unsigned with_start_time;    /**< Back ends that report a start time, except leaving ones. */
     unsigned without_start_time; /**< Back ends that report none, except leaving ones. */
-    uint64_t draws; /**< Input of the random bits of a placement; incremented by each. */
+    uint64_t sample_counter; /**< Input of the random bits of a placement; incremented by each. */
 } service_members_t;
 
 typedef struct {
     backend_record_t *record;
     GPtrArray *list; /**< List of service_members_t that contains it; NULL: removed. */
     guint list_index;
-    bool local;              /**< In the gateway's zone. */
-    gint references;         /**< Of the table, and of the calls at this back end. */
-    bool gone;               /**< Removed from the directory. */
-    uint64_t lapsed_until;   /**< End of the grace period of an expired entry; 0: entry present. */
+    bool local;      /**< In the gateway's zone. */
+    gint references; /**< Of the table, and of the calls at this back end. */
+    bool removed;    /**< Removed from the directory. */
+    uint64_t
+        expiry_grace_end;    /**< End of the grace period of an expired entry; 0: entry present. */
     uint64_t id_hash;        /**< Of the instance; its id in messages between gateways. */
     unsigned under_way;      /**< Active calls of this gateway. */
-    unsigned elsewhere;      /**< Active calls of the other gateways, as last reported. */
+    unsigned peer_calls;     /**< Active calls of the other gateways, as last reported. */
     ejection_t ejection;     /**< After connection resets, here or at other gateways. */
-    bool told_out;           /**< Ejected by reports of other gateways, at the latest check. */
+    bool ejected_by_peers;   /**< Ejected by reports of other gateways, at the latest check. */
     uint64_t incarnation_id; /**< Hash of instance and start time; 0: it reports no start time. */
-    uint64_t life_at;        /**< When a restart was detected; 0: never. */
-    struct incarnation_speed *speed; /**< See backend_paces.h; NULL: not measured. */
+    uint64_t incarnation_since;      /**< When a restart was detected; 0: never. */
+    struct incarnation_speed *speed; /**< See backend_speeds.h; NULL: not measured. */
     GQueue unanswered; /**< Pointers to send times of requests without a response, oldest first. */
-    backend_activity_t signs;
+    backend_activity_t observed;
     http_client_t *probe; /**< See backend_probe.h; NULL: none active. */
     uint64_t probed_at;
     unsigned probe_failures;
@@ -66,9 +67,10 @@
     GHashTable *by_instance; /**< Of backend_t. */
     GHashTable *by_hash;     /**< Of backend_t. */
     GHashTable *by_service;  /**< Name to service_members_t. */
-    GHashTable *lapsed;  /**< Set of backend_t in the grace period after their entries expired. */
-    GHashTable *used;    /**< Set of backend_t that may have to be reported to other gateways. */
-    GHashTable *told_of; /**< Set of backend_t with a report of other gateways in force. */
+    GHashTable *expired;   /**< Set of backend_t in the grace period after their entries expired. */
+    GHashTable *to_report; /**< Set of backend_t that may have to be reported to other gateways. */
+    GHashTable
+        *reported_by_peers; /**< Set of backend_t with a report of other gateways in force. */
     struct backend_speeds *speeds;
     uint64_t seed; /**< Differs by gateway; see core/routing/service_choice.h. */
     uint64_t connections_opened;
@@ -95,9 +97,9 @@
  * Its directory entry expired: keeps it until @p until, or removes it at once if it was leaving.
  * False if it was removed or is unknown.
  */
-bool backends_lapse(backends_t *backends, const char *instance, uint64_t until);
+bool backends_expire_entry(backends_t *backends, const char *instance, uint64_t until);
 /** Removes back ends whose entries were not restored in the grace period; returns their number. */
-unsigned backends_expire_lapsed(backends_t *backends);
+unsigned backends_remove_expired(backends_t *backends);
 /** Removes all back ends whose instance is not in @p instances. */
 void backends_retain(backends_t *backends, GHashTable *instances);
 /** NULL if no back end has this hash. */
@@ -109,11 +111,11 @@
 /** Speed in percent of the typical one of its service; 100 while there are too few samples. */
 unsigned backend_speed(backend_t *backend);
 /** Median response time of its service's plain calls, in ms; 0: unknown or not measured. */
-unsigned backend_usual_answer_ms(const backend_t *backend);
+unsigned backend_typical_answer_ms(const backend_t *backend);
 /** True if it is unreachable, or a response is overdue and no bytes arrive for any call. */
-bool backend_down(backend_t *backend);
+bool backend_is_down(backend_t *backend);
 /** True if the back end is ejected, down or overdue: chosen only if no other one is usable. */
-bool backend_avoided(backend_t *backend);
+bool backend_is_avoided(backend_t *backend);
 /** True if at least half of the slots of some back end are known to be occupied. */
 bool backends_half_full(const backends_t *backends);
 
@@ -123,26 +125,26 @@
 backend_t *backends_choose_engine(backends_t *backends, const backend_choice_t *choice,
                                   const engine_request_t *request);
 /** Takes a reference and counts a call as active. */
-void backend_take(backend_t *backend);
+void backend_acquire(backend_t *backend);
 /** Counts the call as ended and drops its reference. */
 void backend_release(backend_t *backend);
 /** Remaining ejection time to report to the other gateways, in ms; 0: not ejected. */
-uint32_t backend_tell_out_ms(backend_t *backend);
+uint32_t backend_ejection_report_ms(backend_t *backend);
 /**
- * A request was sent. @p sent_at must stay valid until the response begins or backend_send_ended is
- * called.
+ * A request was sent. @p sent_at must stay valid until the response begins or backend_request_ended
+ * is called.
  */
-void backend_send_begun(backend_t *backend, const uint64_t *sent_at);
+void backend_request_sent(backend_t *backend, const uint64_t *sent_at);
 /** The response to the request has begun. */
-void backend_send_answered(backend_t *backend, const uint64_t *sent_at);
+void backend_response_started(backend_t *backend, const uint64_t *sent_at);
 /** The call stops waiting; no effect if the response has begun. */
-void backend_send_ended(backend_t *backend, const uint64_t *sent_at);
+void backend_request_ended(backend_t *backend, const uint64_t *sent_at);
 /** Records evidence that the back end is down: a reset right after a send, or failed probes. */
-void backend_note_reset(backend_t *backend);
+void backend_record_reset(backend_t *backend);
 
 /** Returns an idle connection, or else opens one; NULL if that fails. */
 http_client_t *backend_connect(backends_t *backends, backend_t *backend);
 /** Takes a connection back: pools it if it is reusable, or else closes it. */
-void backend_keep(backend_t *backend, http_client_t *client);
+void backend_return_connection(backend_t *backend, http_client_t *client);
 
 #endif
--- a/src/gateway/call_placement.c
+++ b/src/gateway/call_placement.c
@@ -20,7 +20,7 @@
 
 bool call_placement_by_cost(const call_t *call) {
     return call->service != NULL && call->service->engine &&
-           backends_tell_lives(&call->gateway->backends, call->service_name);
+           backends_report_start_times(&call->gateway->backends, call->service_name);
 }
 
 /** Tokens of the first part in @p part, "ID:TOKENS,..."; 0 if it has no count. */
@@ -129,7 +129,7 @@
         !call_placement_by_cost(call))
         return;
     unsigned load = backend_load(call->backend) - 1;
-    engine_load_note_refused(call->backend, call->service->slots);
+    engine_load_record_refused(call->backend, call->service->slots);
     estimate_engine_wait(call);
     call->gateway->counters.engines_refused++;
     event_log(GATEWAY_ENGINES_FULL, call->id, program_name(call), call->backend->record->instance,
@@ -142,13 +142,13 @@
     if (call->repeating || call->backend == NULL || !call_placement_by_cost(call))
         return;
     uint64_t ms = uv_now(call->gateway->loop) - call->sent_at;
-    engine_load_note_first(call->backend, call->engine_load, call->service->slots, ms,
-                           call->engine_recomputed_tokens);
+    engine_load_record_first_event(call->backend, call->engine_load, call->service->slots, ms,
+                                   call->engine_recomputed_tokens);
 }
 
 void call_placement_completed(const call_t *call) {
     if (call->repeating || call->backend == NULL || !call_placement_by_cost(call))
         return;
     uint64_t ms = uv_now(call->gateway->loop) - call->sent_at;
-    engine_load_note_turn(call->backend, call->engine_load, call->service->slots, ms);
+    engine_load_record_turn(call->backend, call->engine_load, call->service->slots, ms);
 }
--- a/src/gateway/call_retry.c
+++ b/src/gateway/call_retry.c
@@ -29,7 +29,8 @@
 }
 
 static resend_state_t describe_sends(const call_t *call) {
-    bool usable = call->backend != NULL && !call->backend->gone && !call->backend->record->leaving;
+    bool usable =
+        call->backend != NULL && !call->backend->removed && !call->backend->record->leaving;
     return (resend_state_t){
         .attempts = call->route->attempts,
         .backends = call->backends_sent,
--- a/src/gateway/call_send.c
+++ b/src/gateway/call_send.c
@@ -26,9 +26,9 @@
 };
 
 static void release_backend(call_t *call) {
-    silence_watch_remove(&call->gateway->silence_watch, call);
+    stall_watch_remove(&call->gateway->stall_watch, call);
     if (call->backend != NULL) {
-        backend_send_ended(call->backend, &call->sent_at);
+        backend_request_ended(call->backend, &call->sent_at);
         backend_release(call->backend);
     }
     call->backend = NULL;
@@ -119,14 +119,14 @@
 
 static void record_received(call_t *call) {
     call->last_received_at = uv_now(call->gateway->loop);
-    call->backend->signs.last_received_at = call->last_received_at;
+    call->backend->observed.last_received_at = call->last_received_at;
 }
 
 static bool on_head(void *user, const http_answer_head_t *head) {
     call_t *call = user;
     record_received(call);
     call->answered = true;
-    backend_send_answered(call->backend, &call->sent_at);
+    backend_response_started(call->backend, &call->sent_at);
     call_record_answer_time(call);
     if (!answer_is_valid(call, head)) {
         call_log_send_failed(call, "unsound_answer");
@@ -170,10 +170,10 @@
 
 static void on_complete(void *user) {
     call_t *call = user;
-    backend_keep(call->backend, call->client);
+    backend_return_connection(call->backend, call->client);
     call->client = NULL;
     /* The response is complete: the call no longer waits for the back end. */
-    silence_watch_remove(&call->gateway->silence_watch, call);
+    stall_watch_remove(&call->gateway->stall_watch, call);
     if (call->not_run) {
         call_log_send_failed(call, "not_run");
         g_string_truncate(call->body, 0);
@@ -221,7 +221,7 @@
     }
     bool quick = uv_now(call->gateway->loop) <= call->sent_at + QUICK_RESET_MS;
     if (failure == HTTP_FAILURE_NO_ANSWER && quick) {
-        backend_note_reset(call->backend);
+        backend_record_reset(call->backend);
         clear_last_engine(call);
         backend_probe(call->backend);
         load_sharing_report_now(call->gateway->load_sharing);
@@ -288,9 +288,9 @@
     call->sends++;
     call_quota_record_send(call);
     gateway->counters.sends++;
-    backend_send_begun(call->backend, &call->sent_at);
+    backend_request_sent(call->backend, &call->sent_at);
     if (call_repeatable(call))
-        silence_watch_add(&gateway->silence_watch, call);
+        stall_watch_add(&gateway->stall_watch, call);
     bool head_request = strcmp(call->request->method, "HEAD") == 0;
     http_client_send(call->client, build_request(call), head_request, &exchange_handler, call);
 }
@@ -309,7 +309,7 @@
 
 void call_send_same_backend(call_t *call) {
     backend_t *backend = call->backend;
-    backend_take(backend);
+    backend_acquire(backend);
     release_backend(call);
     call->backend = backend;
     call->repeating = true;
--- a/src/gateway/call_speed.c
+++ b/src/gateway/call_speed.c
@@ -1,7 +1,7 @@
-/* Measures the speed of back ends from responses; see backend_paces.h. */
+/* Measures the speed of back ends from responses; see backend_speeds.h. */
 #include "gateway/call.h"
 
-#include "gateway/backend_paces.h"
+#include "gateway/backend_speeds.h"
 
 enum {
     US_PER_MS = 1000,
@@ -13,7 +13,7 @@
 void call_speed_record_head(const call_t *call, unsigned status) {
     bool success = status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES;
     if (success && call->route->kind != CALL_STREAM)
-        backend_paces_note_answer(call->backend, call->route->name, call->sent_at);
+        backend_speeds_record_answer(call->backend, call->route->name, call->sent_at);
 }
 
 void call_speed_record_events(call_t *call) {
@@ -36,5 +36,5 @@
     if (speed->sent_at != call->sent_at || speed->first_at == 0 || gaps < MIN_EVENT_GAPS)
         return;
     uint64_t us = (speed->last_at - speed->first_at) * US_PER_MS / gaps;
-    backend_paces_note_stream(call->backend, (uint32_t)MIN(us, UINT32_MAX), call->sent_at);
+    backend_speeds_record_stream(call->backend, (uint32_t)MIN(us, UINT32_MAX), call->sent_at);
 }
--- a/src/gateway/directory_role.c
+++ b/src/gateway/directory_role.c
@@ -325,8 +325,8 @@
 
 /** The first live gateways of a root cell offer the directory to storage nodes. */
 static void update_offering(gateway_t *gateway, bool first) {
-    bool begins = gateway->offers_directory_since == 0 || !gateway->reports_seen;
-    gateway->reports_seen = true;
+    bool begins = gateway->offers_directory_since == 0 || !gateway->peers_seen;
+    gateway->peers_seen = true;
     if (!first)
         gateway->offers_directory_since = 0;
     else if (begins)
--- a/src/gateway/directory_watch.c
+++ b/src/gateway/directory_watch.c
@@ -76,7 +76,7 @@
         .recovered_at = gateway->key_value_recovered_at,
     };
     uint64_t until = entry_expiry_grace_end(&evidence, now);
-    if (until == 0 || !backends_lapse(&gateway->backends, instance, until))
+    if (until == 0 || !backends_expire_entry(&gateway->backends, instance, until))
         return false;
     if (logs_backends(gateway))
         event_log(BACKEND_ENTRY_EXPIRED, instance, until - now);
@@ -349,7 +349,7 @@
         .no_stores = !gateway->stores_reached && store_client_links_opened(gateway->stores) == 0,
         .view_received_at =
             directory_follow_active(gateway->follow) ? 0 : gateway->view_received_at,
-        .jitter_ms = gateway->listing_spread_ms,
+        .jitter_ms = gateway->listing_jitter_ms,
     };
     if (turn.deferred_since == 0 || !listing_schedule_due(&turn, uv_now(gateway->loop)))
         return;
@@ -361,10 +361,10 @@
 static void on_directory_check(uv_timer_t *timer) {
     gateway_t *gateway = timer->data;
     uint64_t now = uv_now(gateway->loop);
-    if (!gateway->backends_listed && directory_request_due(gateway->directory_asked_at, now) &&
+    if (!gateway->backends_listed && directory_request_due(gateway->directory_requested_at, now) &&
         store_client_ask_directory(gateway->stores))
-        gateway->directory_asked_at = now;
-    unsigned expired = backends_expire_lapsed(&gateway->backends);
+        gateway->directory_requested_at = now;
+    unsigned expired = backends_remove_expired(&gateway->backends);
     if (expired > 0)
         event_log(BACKENDS_REMOVED, expired, backends_count(&gateway->backends));
     offer_directory(gateway);
@@ -387,5 +387,5 @@
         gateway->loop, &settings->key_value, settings->key_value_text, key_value_prefix(KEY_OTHER),
         WATCH_WAIT_RENEWING_MS, &handler, gateway);
     open_group_watch(gateway);
-    gateway->listing_spread_ms = (uint32_t)g_random_int_range(0, LISTING_JITTER_MAX_MS);
+    gateway->listing_jitter_ms = (uint32_t)g_random_int_range(0, LISTING_JITTER_MAX_MS);
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -23,7 +23,7 @@
 #include "gateway/directory_follow.h"
 #include "gateway/load_sharing.h"
 #include "gateway/quota_client.h"
-#include "gateway/silence_watch.h"
+#include "gateway/stall_watch.h"
 #include "gateway/store_client.h"
 #include "gateway/store_relay.h"
 #include "net/http_listener.h"
@@ -79,7 +79,7 @@
     store_relay_t *relay;
     load_sharing_t *load_sharing;
     chain_cache_t chains;
-    silence_watch_t silence_watch;
+    stall_watch_t stall_watch;
     GHashTable *answer_times;   /**< Route name to answer_time_t, of repeatable calls. */
     retry_budget_t late_budget; /**< Limits the calls resent because their response is late. */
     GHashTable *split_state;    /**< Route name to the state of its traffic split; see split.h. */
@@ -98,13 +98,13 @@
     uint64_t offered_at;
     unsigned offered_links;     /**< Links to storage nodes opened by the time of that offer. */
     uint64_t view_received_at;  /**< When a storage node's directory was applied; 0: never. */
-    uint32_t listing_spread_ms; /**< Chosen at random; see listing_schedule.h. */
+    uint32_t listing_jitter_ms; /**< Chosen at random; see listing_schedule.h. */
     uint64_t offers_directory_since; /**< Start of its offers to storage nodes; 0: none. */
     bool renewing;                   /**< This gateway watches the key-value service itself. */
     bool
         slow_retry; /**< Enough other gateways retry the key-value service; this one rarely does. */
-    bool reports_seen;           /**< Other gateways are known. */
-    uint64_t directory_asked_at; /**< Latest request to storage nodes; 0: never. */
+    bool peers_seen;                 /**< Other gateways are known. */
+    uint64_t directory_requested_at; /**< Latest request to storage nodes; 0: never. */
     uv_timer_t directory_timer;
     watch_state_t watch_state; /**< Of the watch role that gateways share. */
     gateway_counters_t counters;
--- a/src/gateway/load_report.h
+++ b/src/gateway/load_report.h
@@ -28,7 +28,7 @@
 
 /**
  * The speed measured at the incarnation of a back end with the id @p incarnation; see
- * backend_paces.h.
+ * backend_speeds.h.
  */
 load_entry_t load_entry_from_speed(uint64_t incarnation, const speed_estimate_t *pace,
                                    uint64_t now);
--- a/src/gateway/load_sharing.c
+++ b/src/gateway/load_sharing.c
@@ -12,7 +12,7 @@
 #include "gateway/load_sharing.h"
 
 #include "common/event.h"
-#include "gateway/backend_paces.h"
+#include "gateway/backend_speeds.h"
 #include "gateway/load_report.h"
 #include "gateway/zone_loads.h"
 
@@ -87,20 +87,20 @@
 
 /** Logs that a back end is ejected because of the reports of others. */
 static void log_ejection(backend_t *backend, uint64_t now) {
-    bool told_out = ejection_is_reported(&backend->ejection, now);
-    if (told_out && !backend->told_out)
+    bool ejected_by_peers = ejection_is_reported(&backend->ejection, now);
+    if (ejected_by_peers && !backend->ejected_by_peers)
         event_log(BACKEND_EJECTED, backend->record->instance,
                   (unsigned)(backend->ejection.reported_until - now), "gateways");
-    backend->told_out = told_out;
+    backend->ejected_by_peers = ejected_by_peers;
 }
 
-static void reset_reported(GHashTable *told_of) {
+static void reset_reported(GHashTable *reported_by_peers) {
     GHashTableIter iterator;
     gpointer key;
-    g_hash_table_iter_init(&iterator, told_of);
+    g_hash_table_iter_init(&iterator, reported_by_peers);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         backend_t *backend = key;
-        backend->elsewhere = 0;
+        backend->peer_calls = 0;
         ejection_clear_reports(&backend->ejection);
     }
 }
@@ -111,27 +111,27 @@
         backend_t *backend = backends_find_hash(sharing->backends, entry->backend);
         if (backend == NULL)
             continue;
-        if (backend->life_at > peer->last_received_at)
+        if (backend->incarnation_since > peer->last_received_at)
             continue;
-        backend->elsewhere += entry->under_way;
+        backend->peer_calls += entry->under_way;
         /* An earlier report may be about the previous incarnation. */
-        if (backend->life_at == 0 ||
-            peer->last_received_at >= backend->life_at + INCARNATION_SETTLE_MS)
+        if (backend->incarnation_since == 0 ||
+            peer->last_received_at >= backend->incarnation_since + INCARNATION_SETTLE_MS)
             ejection_add_report(&backend->ejection, peer->last_received_at + entry->ejected_ms,
                                 now);
-        g_hash_table_add(sharing->backends->told_of, backend);
+        g_hash_table_add(sharing->backends->reported_by_peers, backend);
     }
 }
 
 /** Logs changes, and stops tracking back ends that no report mentions any more. */
-static void update_reported(GHashTable *told_of, uint64_t now) {
+static void update_reported(GHashTable *reported_by_peers, uint64_t now) {
     GHashTableIter iterator;
     gpointer key;
-    g_hash_table_iter_init(&iterator, told_of);
+    g_hash_table_iter_init(&iterator, reported_by_peers);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         backend_t *backend = key;
         log_ejection(backend, now);
-        if (backend->elsewhere == 0 && backend->ejection.reported_until <= now)
+        if (backend->peer_calls == 0 && backend->ejection.reported_until <= now)
             g_hash_table_iter_remove(&iterator);
     }
 }
@@ -141,14 +141,14 @@
     uint64_t now = uv_now(sharing->loop);
     sharing->sums_stale = false;
     sharing->summed_at = now;
-    reset_reported(sharing->backends->told_of);
+    reset_reported(sharing->backends->reported_by_peers);
     for (guint i = 0; i < sharing->peers->len; i++) {
         const gateway_peer_t *peer = g_ptr_array_index(sharing->peers, i);
         if (now <= peer->last_received_at + REPORT_EXPIRY_MS)
             add_reported(sharing, peer, now);
     }
     zone_loads_add_remote(&sharing->zone_loads, sharing->backends, now);
-    update_reported(sharing->backends->told_of, now);
+    update_reported(sharing->backends->reported_by_peers, now);
 }
 
 static void on_timer(uv_timer_t *timer);
@@ -168,7 +168,7 @@
     uint64_t reporter = (uint64_t)address->sin_addr.s_addr << 16 | address->sin_port;
     for (guint i = peer->entries->len; i > 0; i--) {
         const load_entry_t *entry = &g_array_index(peer->entries, load_entry_t, i - 1);
-        if (backend_paces_note_told(sharing->backends, entry, reporter))
+        if (backend_speeds_record_report(sharing->backends, entry, reporter))
             g_array_remove_index_fast(peer->entries, i - 1);
     }
 }
@@ -224,10 +224,10 @@
     GArray *entries = g_array_new(FALSE, FALSE, sizeof(load_entry_t));
     GHashTableIter iterator;
     gpointer key;
-    g_hash_table_iter_init(&iterator, sharing->backends->used);
+    g_hash_table_iter_init(&iterator, sharing->backends->to_report);
     while (g_hash_table_iter_next(&iterator, &key, NULL)) {
         backend_t *backend = key;
-        uint32_t ejected_ms = backend_tell_out_ms(backend);
+        uint32_t ejected_ms = backend_ejection_report_ms(backend);
         load_entry_t entry = {backend->id_hash, backend->under_way, ejected_ms};
         bool any = backend->under_way > 0 || ejected_ms > 0;
         if (any && entries->len < LOAD_ENTRIES_MAX)
@@ -244,7 +244,7 @@
     sharing->handler->fill_report(sharing->owner, &watch);
     sharing->sent_report = watch;
     sharing->sent_any = entries->len > 0;
-    backend_paces_tell(sharing->backends, entries, sharing->peers->len);
+    backend_speeds_append_report(sharing->backends, entries, sharing->peers->len);
     GBytes *bytes = load_report_encode(&watch, entries);
     gsize length;
     const void *data = g_bytes_get_data(bytes, &length);
--- a/src/gateway/main.c
+++ b/src/gateway/main.c
@@ -90,7 +90,7 @@
     gateway->split_state = split_state_new();
     gateway->answer_times = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     gateway->late_budget = retry_budget_new();
-    silence_watch_init(&gateway->silence_watch, gateway->loop);
+    stall_watch_init(&gateway->stall_watch, gateway->loop);
     chain_cache_init(&gateway->chains,
                      settings->memory_megabytes * MEGABYTE * CACHE_SHARE_PERCENT / PERCENT);
     gateway->calls = http_listener_open(gateway->loop, &settings->calls, &default_limits,
--- a/src/gateway/reports.c
+++ b/src/gateway/reports.c
@@ -2,7 +2,7 @@
 #include "gateway/gateway.h"
 
 #include "common/event.h"
-#include "gateway/backend_paces.h"
+#include "gateway/backend_speeds.h"
 #include "gateway/call_fields.h"
 
 #include <string.h>
@@ -95,7 +95,7 @@
 }
 
 static void append_speed_metrics(gateway_t *gateway, GString *text) {
-    backend_pace_counts_t counts = backend_paces_count(&gateway->backends);
+    backend_speed_counts_t counts = backend_speeds_count(&gateway->backends);
     metrics_append(text, "backends_measured", counts.measured);
     metrics_append(text, "backends_slow", counts.slow);
     metrics_append(text, "backends_fast", counts.fast);
--- a/src/gateway/silence_watch.c
+++ b/src/gateway/stall_watch.c
@@ -1,4 +1,4 @@
-#include "gateway/silence_watch.h"
+#include "gateway/stall_watch.h"
 
 #include "gateway/backend_probe.h"
 #include "gateway/call.h"
@@ -16,12 +16,12 @@
         .last_received_at = call->last_received_at,
         .answered = call->answered,
     };
-    switch (stall_evaluate(&call_state, &backend->signs, now)) {
+    switch (stall_evaluate(&call_state, &backend->observed, now)) {
     case STALL_CALL_LOST:
         call_handle_backend_lost(call, "overtaken");
         break;
     case STALL_SUSPECTED:
-        if (backend_unreachable_since(backend, call->last_received_at))
+        if (backend_found_unreachable_since(backend, call->last_received_at))
             call_handle_backend_unreachable(call);
         else
             backend_probe(backend);
@@ -32,7 +32,7 @@
 }
 
 static void on_check(uv_timer_t *timer) {
-    silence_watch_t *watch = timer->data;
+    stall_watch_t *watch = timer->data;
     uint64_t now = uv_now(timer->loop);
     /* Backwards: removing a call moves a later one, already checked, to its index. */
     for (guint i = watch->calls->len; i > 0; i--)
@@ -42,18 +42,18 @@
         uv_timer_stop(&watch->timer);
 }
 
-void silence_watch_init(silence_watch_t *watch, uv_loop_t *loop) {
+void stall_watch_init(stall_watch_t *watch, uv_loop_t *loop) {
     watch->calls = g_ptr_array_new();
     uv_timer_init(loop, &watch->timer);
     watch->timer.data = watch;
 }
 
-void silence_watch_add(silence_watch_t *watch, call_t *call) {
+void stall_watch_add(stall_watch_t *watch, call_t *call) {
     g_ptr_array_add(watch->calls, call);
     if (!uv_is_active((uv_handle_t *)&watch->timer))
         uv_timer_start(&watch->timer, on_check, CHECK_INTERVAL_MS, CHECK_INTERVAL_MS);
 }
 
-void silence_watch_remove(silence_watch_t *watch, call_t *call) {
+void stall_watch_remove(stall_watch_t *watch, call_t *call) {
     g_ptr_array_remove_fast(watch->calls, call);
 }
--- a/src/gateway/silence_watch.h
+++ b/src/gateway/stall_watch.h
@@ -1,13 +1,13 @@
 /**
- * @file silence_watch.h
+ * @file stall_watch.h
  * Periodically checks the calls that wait for bytes from a back end, and takes those that stall
  * away from it; see core/retry/stall.h. Only repeatable calls are watched: others can't be
  * resent.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
-#ifndef RUDDERWAY_GATEWAY_SILENCE_WATCH_H
-#define RUDDERWAY_GATEWAY_SILENCE_WATCH_H
+#ifndef RUDDERWAY_GATEWAY_STALL_WATCH_H
+#define RUDDERWAY_GATEWAY_STALL_WATCH_H
 
 #include <glib.h>
 #include <uv.h>
@@ -17,11 +17,11 @@
 typedef struct {
     uv_timer_t timer; /**< Active while a call is watched. */
     GPtrArray *calls; /**< Of call_t. */
-} silence_watch_t;
+} stall_watch_t;
 
-void silence_watch_init(silence_watch_t *watch, uv_loop_t *loop);
-void silence_watch_add(silence_watch_t *watch, struct call *call);
+void stall_watch_init(stall_watch_t *watch, uv_loop_t *loop);
+void stall_watch_add(stall_watch_t *watch, struct call *call);
 /** No effect if the call is not watched. */
-void silence_watch_remove(silence_watch_t *watch, struct call *call);
+void stall_watch_remove(stall_watch_t *watch, struct call *call);
 
 #endif
--- a/src/gateway/zone_loads.c
+++ b/src/gateway/zone_loads.c
@@ -144,10 +144,10 @@
         for (guint j = 0; j < gateway->entries->len; j++) {
             const load_entry_t *entry = &g_array_index(gateway->entries, load_entry_t, j);
             backend_t *backend = backends_find_hash(backends, entry->backend);
-            if (backend == NULL || backend->life_at > gateway->last_received_at)
+            if (backend == NULL || backend->incarnation_since > gateway->last_received_at)
                 continue;
-            backend->elsewhere += entry->under_way;
-            g_hash_table_add(backends->told_of, backend);
+            backend->peer_calls += entry->under_way;
+            g_hash_table_add(backends->reported_by_peers, backend);
         }
     }
 }
--- a/tests/unit/backend_paces_test.cc
+++ b/tests/unit/backend_speeds_test.cc
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 extern "C" {
-#include "gateway/backend_paces.h"
+#include "gateway/backend_speeds.h"
 #include "gateway/backends.h"
 #include "gateway/load_report.h"
 #include "gateway/load_sharing.h"
@@ -55,12 +55,12 @@
     /** Records streams whose events take @p event_us. */
     void measure(const std::string &instance, uint32_t event_us, unsigned streams) {
         for (unsigned i = 0; i < streams; i++)
-            backend_paces_note_stream(find(instance), event_us, uv_now(&loop));
+            backend_speeds_record_stream(find(instance), event_us, uv_now(&loop));
     }
     /** Entries of the next datagrams to @p gateways others. */
     std::vector<load_entry_t> report(unsigned gateways) {
         GArray *entries = g_array_new(FALSE, FALSE, sizeof(load_entry_t));
-        backend_paces_tell(&backends, entries, gateways);
+        backend_speeds_append_report(&backends, entries, gateways);
         auto *first = reinterpret_cast<load_entry_t *>(entries->data);
         std::vector<load_entry_t> reported(first, first + entries->len);
         g_array_free(entries, TRUE);
@@ -72,7 +72,7 @@
     unsigned receive(const std::vector<load_entry_t> &reported, uint64_t sender) {
         unsigned accepted = 0;
         for (const load_entry_t &entry : reported)
-            accepted += backend_paces_note_told(&backends, &entry, sender) ? 1 : 0;
+            accepted += backend_speeds_record_report(&backends, &entry, sender) ? 1 : 0;
         return accepted;
     }
     uv_loop_t loop;
@@ -104,8 +104,8 @@
     EXPECT_EQ(other.receive(reported, 1), 6U);
     EXPECT_EQ(other.speed(instance(0)), 40U);
     EXPECT_EQ(other.speed(instance(5)), 100U);
-    EXPECT_EQ(backend_paces_count(&other.backends).slow, 2U);
-    EXPECT_EQ(backend_paces_count(&other.backends).fast, 0U);
+    EXPECT_EQ(backend_speeds_count(&other.backends).slow, 2U);
+    EXPECT_EQ(backend_speeds_count(&other.backends).fast, 0U);
     EXPECT_TRUE(one.report(1).empty()) << "only new samples are reported";
 }
 
@@ -117,7 +117,7 @@
     }
     EXPECT_EQ(gateway.speed(instance(0)), 100U);
     EXPECT_TRUE(gateway.report(1).empty());
-    EXPECT_EQ(backend_paces_count(&gateway.backends).measured, 0U);
+    EXPECT_EQ(backend_speeds_count(&gateway.backends).measured, 0U);
 }
 
 // Routes take 20 and 200 ms; one back end serves only the slow route.
@@ -130,8 +130,9 @@
         unsigned back_end = i % 4;
         bool slow_route = back_end == 0 || i % 3 == 0;
         uint64_t ms = back_end == 1 ? 2 : 1;
-        backend_paces_note_answer(gateway.find(instance(back_end)), slow_route ? "slow" : "quick",
-                                  now - ms * (slow_route ? 200 : 20));
+        backend_speeds_record_answer(gateway.find(instance(back_end)),
+                                     slow_route ? "slow" : "quick",
+                                     now - ms * (slow_route ? 200 : 20));
     }
     EXPECT_EQ(gateway.speed(instance(0)), 100U);
     EXPECT_EQ(gateway.speed(instance(1)), 50U);
@@ -144,10 +145,10 @@
     gateway.add("a", first_start);
     uint64_t now = uv_now(&gateway.loop);
     for (unsigned i = 0; i < 15; i++)
-        backend_paces_note_answer(gateway.find("a"), "route", now - (i < 6 ? 90 : 30));
+        backend_speeds_record_answer(gateway.find("a"), "route", now - (i < 6 ? 90 : 30));
     EXPECT_TRUE(gateway.report(1).empty());
     for (unsigned i = 0; i < 16; i++)
-        backend_paces_note_answer(gateway.find("a"), "route", now - 30);
+        backend_speeds_record_answer(gateway.find("a"), "route", now - 30);
     EXPECT_EQ(gateway.report(1).size(), 1U);
 }
 
@@ -157,7 +158,7 @@
     Gateway gateway("gateway-1");
     gateway.add("near", first_start);
     gateway.add("far", 0, "there");
-    gateway.find("near")->elsewhere = 3;
+    gateway.find("near")->peer_calls = 3;
     backend_choice_t choice = {"s", nullptr, 6};
     backend_t *chosen = backends_choose(&gateway.backends, &choice);
     EXPECT_EQ(chosen, gateway.find("far"));
@@ -210,7 +211,7 @@
     GBytes *without = load_report_encode(&watch, none);
     size_t bytes = (g_bytes_get_size(with) - g_bytes_get_size(without)) * gateways;
     EXPECT_GT(reported.size(), 0U);
-    EXPECT_LE(static_cast<double>(bytes), 1.05 * BACKEND_PACES_BYTES_A_S * seconds);
+    EXPECT_LE(static_cast<double>(bytes), 1.05 * BACKEND_SPEEDS_BYTES_PER_S * seconds);
     std::set<uint64_t> ids;
     for (const load_entry_t &entry : reported)
         ids.insert(entry.backend);
@@ -261,11 +262,11 @@
     uint64_t sent_at = uv_now(&gateway.loop) - 1;
     gateway.add("a", second_start);
     backend_t *backend = gateway.find("a");
-    backend_paces_note_stream(backend, 3000, sent_at);
-    backend_send_begun(backend, &sent_at);
-    backend_send_answered(backend, &sent_at);
+    backend_speeds_record_stream(backend, 3000, sent_at);
+    backend_request_sent(backend, &sent_at);
+    backend_response_started(backend, &sent_at);
     EXPECT_EQ(backend->speed, nullptr);
-    EXPECT_EQ(backend->signs.answer_ms, 0U);
+    EXPECT_EQ(backend->observed.answer_ms, 0U);
 }
 
 TEST(BackendSpeeds, ARestartClearsDownAndOverdueStates) {
@@ -273,30 +274,30 @@
     gateway.add("a", first_start);
     backend_t *backend = gateway.find("a");
     uint64_t long_ago = 0;
-    backend_send_begun(backend, &long_ago);
-    backend_note_reset(backend);
-    backend->elsewhere = 5;
+    backend_request_sent(backend, &long_ago);
+    backend_record_reset(backend);
+    backend->peer_calls = 5;
     backend->unreachable_at = uv_now(&gateway.loop);
     ejection_add_report(&backend->ejection, uv_now(&gateway.loop) + 1000, uv_now(&gateway.loop));
-    ASSERT_TRUE(backend_down(backend));
-    ASSERT_TRUE(backend_avoided(backend));
-    ASSERT_GT(backend_tell_out_ms(backend), 0U);
+    ASSERT_TRUE(backend_is_down(backend));
+    ASSERT_TRUE(backend_is_avoided(backend));
+    ASSERT_GT(backend_ejection_report_ms(backend), 0U);
     gateway.add("a", second_start);
-    EXPECT_FALSE(backend_down(backend));
-    EXPECT_FALSE(backend_avoided(backend));
-    EXPECT_EQ(backend_tell_out_ms(backend), 0U);
-    EXPECT_EQ(backend->elsewhere, 0U);
-    EXPECT_EQ(backend->signs.last_received_at, 0U);
-    backend_send_ended(backend, &long_ago);
+    EXPECT_FALSE(backend_is_down(backend));
+    EXPECT_FALSE(backend_is_avoided(backend));
+    EXPECT_EQ(backend_ejection_report_ms(backend), 0U);
+    EXPECT_EQ(backend->peer_calls, 0U);
+    EXPECT_EQ(backend->observed.last_received_at, 0U);
+    backend_request_ended(backend, &long_ago);
 }
 
 TEST(BackendSpeeds, UnchangedAndUnknownStartTimesKeepState) {
     Gateway gateway("gateway-1");
     for (uint64_t born : {first_start, uint64_t{0}, uint64_t{0}, first_start}) {
         gateway.add("a", born);
-        backend_note_reset(gateway.find("a"));
+        backend_record_reset(gateway.find("a"));
         gateway.add("a", born);
-        EXPECT_TRUE(backend_avoided(gateway.find("a"))) << born;
+        EXPECT_TRUE(backend_is_avoided(gateway.find("a"))) << born;
     }
 }
 
@@ -435,22 +436,22 @@
 TEST_F(Sharing, SpeedsAreSentWithTheLoads) {
     for (unsigned i = 0; i < 5; i++)
         for (unsigned j = 0; j < 10; j++)
-            backend_paces_note_stream(find(sides[0], i), i == 0 ? 7500 : 3000, uv_now(&loop));
-    backend_take(find(sides[0], 1));
+            backend_speeds_record_stream(find(sides[0], i), i == 0 ? 7500 : 3000, uv_now(&loop));
+    backend_acquire(find(sides[0], 1));
     EXPECT_TRUE(run_until([this] {
         load_sharing_refresh(sides[1].sharing);
-        return backend_speed(find(sides[1], 0)) == 40 && find(sides[1], 1)->elsewhere == 1;
+        return backend_speed(find(sides[1], 0)) == 40 && find(sides[1], 1)->peer_calls == 1;
     }));
     EXPECT_EQ(backend_speed(find(sides[1], 4)), 100U);
-    EXPECT_EQ(find(sides[1], 0)->elsewhere, 0U) << "a speed entry does not change the load";
+    EXPECT_EQ(find(sides[1], 0)->peer_calls, 0U) << "a speed entry does not change the load";
     backend_release(find(sides[0], 1));
 }
 
 TEST_F(Sharing, LoadsOfThePreviousIncarnationAreDropped) {
-    backend_take(find(sides[0], 1));
+    backend_acquire(find(sides[0], 1));
     EXPECT_TRUE(run_until([this] {
         load_sharing_refresh(sides[1].sharing);
-        return find(sides[1], 1)->elsewhere == 1;
+        return find(sides[1], 1)->peer_calls == 1;
     }));
     uv_sleep(2);
     uv_update_time(&loop);
@@ -458,7 +459,7 @@
     uv_sleep(150);
     uv_update_time(&loop);
     load_sharing_refresh(sides[1].sharing);
-    EXPECT_EQ(find(sides[1], 1)->elsewhere, 0U);
+    EXPECT_EQ(find(sides[1], 1)->peer_calls, 0U);
     backend_release(find(sides[0], 1));
 }
 
--- a/tests/unit/call_placement_test.cc
+++ b/tests/unit/call_placement_test.cc
@@ -29,7 +29,7 @@
         backends_update(&gateway.backends, record);
         engine = static_cast<backend_t *>(g_hash_table_lookup(gateway.backends.by_instance, "i-1"));
         engine_limit_record_refused(&engine->limit, 5, 3 * SLOTS, SLOTS, uv_now(&loop) - 1000);
-        engine->elsewhere = SLOTS + 2 * SLOTS * 3 / 4;
+        engine->peer_calls = SLOTS + 2 * SLOTS * 3 / 4;
         http_headers_init(&headers);
         call.gateway = &gateway;
         call.id = "c-1";
--- a/tests/unit/control_traffic_test.cc
+++ b/tests/unit/control_traffic_test.cc
@@ -22,7 +22,7 @@
 #include "core/configuration/listing_schedule.h"
 #include "core/configuration/watch_role.h"
 #include "core/quorum/store_group_choice.h"
-#include "gateway/backend_paces.h"
+#include "gateway/backend_speeds.h"
 #include "gateway/load_report.h"
 #include "store/gateway_directory.h"
 }
@@ -248,7 +248,7 @@
         figures.steady_messages = datagrams + fleet.followers;
         figures.steady_bytes = datagrams * static_cast<double>(report_bytes()) +
                                fleet.followers * static_cast<double>(changes_bytes(false)) +
-                               BACKEND_PACES_BYTES_A_S;
+                               BACKEND_SPEEDS_BYTES_PER_S;
         size_t view = size_of(directory_snapshot_encode(&snapshot));
         figures.start_bytes = fleet.followers * changes_bytes(false);
         figures.change_bytes = fleet.followers * changes_bytes(true);
--- a/tests/unit/engine_load_test.cc
+++ b/tests/unit/engine_load_test.cc
@@ -47,9 +47,9 @@
             backend_release(backend);
         return backend;
     }
-    const engine_baseline_t *usual() {
+    const engine_baseline_t *baseline() {
         auto *members = g_hash_table_lookup(backends.by_service, "models");
-        return &static_cast<service_members_t *>(members)->usual;
+        return &static_cast<service_members_t *>(members)->baseline;
     }
     uv_loop_t loop;
     backends_t backends;
@@ -57,30 +57,30 @@
 };
 
 TEST_F(ObservedEngines, RequiresStartTimesOfAllBackEnds) {
-    EXPECT_FALSE(backends_tell_lives(&backends, "models"));
+    EXPECT_FALSE(backends_report_start_times(&backends, "models"));
     add("i-1", "here", 5);
-    EXPECT_TRUE(backends_tell_lives(&backends, "models"));
+    EXPECT_TRUE(backends_report_start_times(&backends, "models"));
 }
 
 TEST_F(ObservedEngines, OneBackEndWithoutStartTimeDisablesPlacementByCost) {
     add("i-1", "here", 5);
     add("i-2", "there", 0);
-    EXPECT_FALSE(backends_tell_lives(&backends, "models"));
+    EXPECT_FALSE(backends_report_start_times(&backends, "models"));
 }
 
 TEST_F(ObservedEngines, StartTimesAreTrackedWithTheDirectory) {
     add("i-1", "here", 5);
-    EXPECT_TRUE(backends_tell_lives(&backends, "models"));
+    EXPECT_TRUE(backends_report_start_times(&backends, "models"));
     add("i-2", "there", 0);
-    EXPECT_FALSE(backends_tell_lives(&backends, "models"));
+    EXPECT_FALSE(backends_report_start_times(&backends, "models"));
     add("i-2", "there", 6);
-    EXPECT_TRUE(backends_tell_lives(&backends, "models"));
+    EXPECT_TRUE(backends_report_start_times(&backends, "models"));
     add("i-3", "here", 0);
     backends_remove(&backends, "i-1");
     backends_remove(&backends, "i-2");
-    EXPECT_FALSE(backends_tell_lives(&backends, "models"));
+    EXPECT_FALSE(backends_report_start_times(&backends, "models"));
     backends_remove(&backends, "i-3");
-    EXPECT_FALSE(backends_tell_lives(&backends, "models")) << "no back ends";
+    EXPECT_FALSE(backends_report_start_times(&backends, "models")) << "no back ends";
 }
 
 TEST_F(ObservedEngines, OtherZonesAreUsedOnlyWhenTheLocalOneIsFull) {
@@ -89,11 +89,11 @@
     for (unsigned i = 0; i < 27; i++)
         add("far-" + std::to_string(i), "there", 5);
     for (unsigned i = 0; i < 9; i++)
-        find(("near-" + std::to_string(i)).c_str())->elsewhere = SLOTS - 1;
+        find(("near-" + std::to_string(i)).c_str())->peer_calls = SLOTS - 1;
     for (unsigned i = 0; i < 500; i++)
         EXPECT_TRUE(choose()->local);
     for (unsigned i = 0; i < 9; i++)
-        find(("near-" + std::to_string(i)).c_str())->elsewhere = 2 * SLOTS;
+        find(("near-" + std::to_string(i)).c_str())->peer_calls = 2 * SLOTS;
     for (unsigned i = 0; i < 500; i++)
         EXPECT_FALSE(choose()->local);
 }
@@ -102,47 +102,47 @@
     add("i-1", "here", 5);
     add("i-2", "here", 5);
     backend_t *full = find("i-1");
-    full->elsewhere = 2 * SLOTS;
-    backend_take(full);
-    engine_load_note_refused(full, 0);
+    full->peer_calls = 2 * SLOTS;
+    backend_acquire(full);
+    engine_load_record_refused(full, 0);
     backend_release(full);
     for (unsigned i = 0; i < 100; i++) {
         EXPECT_EQ(choose(), find("i-2"));
         EXPECT_EQ(choose(full->id_hash, true), find("i-2"))
             << "its programs move to another engine";
     }
-    EXPECT_EQ(engine_load_state(full, usual(), 0).queue, SLOTS);
-    find("i-2")->elsewhere = 2 * SLOTS;
+    EXPECT_EQ(engine_load_state(full, baseline(), 0).queue, SLOTS);
+    find("i-2")->peer_calls = 2 * SLOTS;
     EXPECT_EQ(choose(), nullptr) << "the queue length observed at one engine applies to the others";
     EXPECT_EQ(placement.outcome, PLACEMENT_FULL);
     EXPECT_GT(placement.free_ms, 0);
     EXPECT_NE(choose(full->id_hash, true), nullptr);
     add("i-1", "here", 6);
-    full->elsewhere = 2;
-    EXPECT_FALSE(engine_load_state(full, usual(), 0).refusing) << "it has restarted";
+    full->peer_calls = 2;
+    EXPECT_FALSE(engine_load_state(full, baseline(), 0).refusing) << "it has restarted";
 }
 
 TEST_F(ObservedEngines, ObservationsSurviveARecordWithTheShortStartTime) {
     add("i-1", "here", 1764700000000);
     backend_t *full = find("i-1");
-    full->elsewhere = 2 * SLOTS;
-    backend_take(full);
-    engine_load_note_refused(full, 0);
+    full->peer_calls = 2 * SLOTS;
+    backend_acquire(full);
+    engine_load_record_refused(full, 0);
     backend_release(full);
-    ASSERT_TRUE(engine_load_state(full, usual(), 0).refusing);
+    ASSERT_TRUE(engine_load_state(full, baseline(), 0).refusing);
     add("i-1", "here", backend_record_life(full->record));
-    EXPECT_TRUE(engine_load_state(full, usual(), 0).refusing);
+    EXPECT_TRUE(engine_load_state(full, baseline(), 0).refusing);
     EXPECT_GT(engine_limit_queue(&full->limit, backend_record_life(full->record), SLOTS), 0U);
 }
 
 TEST_F(ObservedEngines, TimesOfQueuedTurnsAreIgnored) {
     add("i-1", "here", 5);
     for (unsigned i = 0; i < 100; i++)
-        engine_load_note_turn(find("i-1"), SLOTS, 0, 5000);
+        engine_load_record_turn(find("i-1"), SLOTS, 0, 5000);
     choose();
     EXPECT_LT(placement.cost_ms, 300);
     for (unsigned i = 0; i < 100; i++)
-        engine_load_note_turn(find("i-1"), 0, 0, 5000);
+        engine_load_record_turn(find("i-1"), 0, 0, 5000);
     choose();
     EXPECT_GT(placement.cost_ms, 4000);
 }
@@ -153,7 +153,7 @@
     for (unsigned i = 0; i < 10000; i++)
         add("i-" + std::to_string(i), i % 6 == 0 ? "here" : "there", 5);
     for (unsigned i = 0; i < 10000; i += 6)
-        find(("i-" + std::to_string(i)).c_str())->elsewhere = 3 * SLOTS;
+        find(("i-" + std::to_string(i)).c_str())->peer_calls = 3 * SLOTS;
     clock_t begin = clock();
     unsigned remote = 0;
     for (unsigned i = 0; i < 200; i++)
--- a/tests/unit/entry_expiry_test.cc
+++ b/tests/unit/entry_expiry_test.cc
@@ -65,31 +65,31 @@
 
 TEST_F(ExpiredBackends, AreUsedDuringTheGracePeriod) {
     list("a");
-    EXPECT_TRUE(backends_lapse(&backends, "a", now() + 1000));
+    EXPECT_TRUE(backends_expire_entry(&backends, "a", now() + 1000));
     EXPECT_TRUE(chosen());
-    EXPECT_EQ(backends_expire_lapsed(&backends), 0U);
+    EXPECT_EQ(backends_remove_expired(&backends), 0U);
     EXPECT_EQ(backends_count(&backends), 1U);
 }
 
 TEST_F(ExpiredBackends, AreRemovedAfterTheGracePeriod) {
     list("a");
-    EXPECT_TRUE(backends_lapse(&backends, "a", now()));
+    EXPECT_TRUE(backends_expire_entry(&backends, "a", now()));
     EXPECT_FALSE(chosen());
-    EXPECT_EQ(backends_expire_lapsed(&backends), 1U);
+    EXPECT_EQ(backends_remove_expired(&backends), 1U);
     EXPECT_EQ(backends_count(&backends), 0U);
 }
 
 TEST_F(ExpiredBackends, StayOnceTheirEntriesAreWrittenAgain) {
     list("a");
-    EXPECT_TRUE(backends_lapse(&backends, "a", now()));
+    EXPECT_TRUE(backends_expire_entry(&backends, "a", now()));
     list("a");
     EXPECT_TRUE(chosen());
-    EXPECT_EQ(backends_expire_lapsed(&backends), 0U);
+    EXPECT_EQ(backends_remove_expired(&backends), 0U);
 }
 
 TEST_F(ExpiredBackends, ThatWereLeavingAreRemovedAtOnce) {
     list("a", true);
-    EXPECT_FALSE(backends_lapse(&backends, "a", now() + 1000));
+    EXPECT_FALSE(backends_expire_entry(&backends, "a", now() + 1000));
     EXPECT_EQ(backends_count(&backends), 0U);
 }
 
--- a/tests/unit/gateway_test.cc
+++ b/tests/unit/gateway_test.cc
@@ -281,7 +281,7 @@
     std::string first = choose();
     uint64_t hash = last->id_hash;
     release();
-    backends_find_hash(&backends, hash)->elsewhere = 5;
+    backends_find_hash(&backends, hash)->peer_calls = 5;
     EXPECT_NE(choose(), first);
 }
 
@@ -289,8 +289,8 @@
     add("a", "here");
     add("b", "there");
     EXPECT_EQ(choose(), "a");
-    backend_note_reset(last);
-    backend_note_reset(last);
+    backend_record_reset(last);
+    backend_record_reset(last);
     backend_t *failed = last;
     EXPECT_EQ(choose(), "b");
     GPtrArray *excluded = g_ptr_array_new();
@@ -378,31 +378,31 @@
     uint64_t now = uv_now(&loop);
     uint64_t long_ago = now - 401;
     uint64_t recent = now - 300;
-    backend_send_begun(stalled, &recent);
+    backend_request_sent(stalled, &recent);
     release();
     EXPECT_EQ(choose(), "a") << "not overdue yet";
     release();
-    backend_send_ended(stalled, &recent);
-    backend_send_begun(stalled, &long_ago);
+    backend_request_ended(stalled, &recent);
+    backend_request_sent(stalled, &long_ago);
     EXPECT_NE(choose(), "a");
     release();
-    backend_send_ended(stalled, &long_ago);
+    backend_request_ended(stalled, &long_ago);
     EXPECT_EQ(choose(), "a");
     release();
     uint64_t slow = now - 200;
-    backend_send_begun(stalled, &slow);
-    backend_send_answered(stalled, &slow);
-    backend_send_begun(stalled, &long_ago);
+    backend_request_sent(stalled, &slow);
+    backend_response_started(stalled, &slow);
+    backend_request_sent(stalled, &long_ago);
     EXPECT_EQ(choose(), "a") << "its baseline is slow";
     release();
-    backend_send_ended(stalled, &long_ago);
+    backend_request_ended(stalled, &long_ago);
 }
 
 TEST_F(Backends, LoadDecidesIfMostBackEndsSeemDown) {
     add("a", "here");
     add("b", "here");
     choose();
-    backend_note_reset(last);
+    backend_record_reset(last);
     std::string first = last->record->instance;
     release();
     for (int i = 0; i < 30; i++)
--- a/tests/unit/zone_loads_test.cc
+++ b/tests/unit/zone_loads_test.cc
@@ -100,9 +100,9 @@
         return accepted;
     }
     unsigned remote_calls(uint64_t now) {
-        backend("i-a")->elsewhere = 0;
+        backend("i-a")->peer_calls = 0;
         zone_loads_add_remote(&loads, &backends, now);
-        return backend("i-a")->elsewhere;
+        return backend("i-a")->peer_calls;
     }
     uv_loop_t loop;
     backends_t backends;
@@ -159,7 +159,7 @@
     set({2, 2}, 0, 0);
     EXPECT_TRUE(receive(1, 0, 10, 1000));
     EXPECT_EQ(remote_calls(1100), 10U);
-    backend("i-a")->life_at = 1001;
+    backend("i-a")->incarnation_since = 1001;
     EXPECT_EQ(remote_calls(1100), 0U);
     EXPECT_TRUE(receive(1, 0, 3, 1050));
     EXPECT_EQ(remote_calls(1100), 3U);
