--- a/src/directorysim/stubs.c
+++ b/src/directorysim/stubs.c
@@ -36,7 +36,7 @@
     g_bytes_unref(answer.bytes);
 }
 
-bool store_client_ask_directory(store_client_t *client) {
+bool store_client_request_directory(store_client_t *client) {
     world_gateway_t *gateway = client->gateway;
     if (gateway->listed_as == 0)
         return false;
@@ -60,7 +60,7 @@
         world_keep_directory(bytes);
 }
 
-void store_client_offer_directory(const store_client_t *client, uint64_t revision) {
+void store_client_announce_directory(const store_client_t *client, uint64_t revision) {
     (void)revision;
     virtual_after(PULL_LATENCY_MS, client->gateway->process, pull_directory, (void *)client);
 }
@@ -77,7 +77,7 @@
     return client->gateway->listed_as > 0;
 }
 
-void store_client_doubt(store_client_t *client) {
+void store_client_suspect_isolation(store_client_t *client) {
     (void)client;
 }
 
@@ -91,13 +91,13 @@
     (void)group;
 }
 
-void store_client_take_group(store_client_t *client, const message_t *message) {
+void store_client_apply_group_message(store_client_t *client, const message_t *message) {
     (void)client;
     (void)message;
 }
 
-bool store_client_reaches(const store_client_t *client, const char *name,
-                          struct sockaddr_in *address) {
+bool store_client_direct_address(const store_client_t *client, const char *name,
+                                 struct sockaddr_in *address) {
     (void)client;
     (void)name;
     (void)address;
--- a/src/gateway/call.h
+++ b/src/gateway/call.h
@@ -68,7 +68,7 @@
 
 /** Rate limit state of a call. */
 typedef struct {
-    quota_ask_t *pending;      /**< Request in progress; NULL: none. */
+    quota_request_t *pending;  /**< Request in progress; NULL: none. */
     bool token_held;           /**< A token was granted and not yet used by a send. */
     uint64_t token_expires_at; /**< Loop time in ms. */
     uint32_t retry_after_ms;
--- a/src/gateway/call_placement.c
+++ b/src/gateway/call_placement.c
@@ -135,7 +135,7 @@
     event_log(GATEWAY_ENGINES_FULL, call->id, program_name(call), call->backend->record->instance,
               load, backend_slots(call->backend, call->service->slots), call->engine_wait_ms);
     if (call->turn.budgeted)
-        store_client_tell_place(call->gateway->stores, call->program, 0);
+        store_client_report_engine(call->gateway->stores, call->program, 0);
 }
 
 void call_placement_first_event(const call_t *call) {
--- a/src/gateway/call_quota.c
+++ b/src/gateway/call_quota.c
@@ -42,8 +42,8 @@
 static void count_over_quota(call_t *call, const quota_result_t *result) {
     gateway_counters_t *counters = &call->gateway->counters;
     counters->over_quota++;
-    counters->programs_not_begun += result->not_begun;
-    if (result->not_begun || !shows_program_started(call))
+    counters->programs_not_begun += result->program_refused;
+    if (result->program_refused || !shows_program_started(call))
         return;
     counters->begun_over_quota++;
     if (call->gateway->settings->whole_programs)
@@ -59,14 +59,14 @@
         quota->token_held = true;
         quota->token_expires_at = result->until;
         return true;
-    case QUOTA_WAITING:
+    case QUOTA_PENDING:
         return true;
-    case QUOTA_OVER:
+    case QUOTA_EXCEEDED:
         quota->retry_after_ms = result->wait_ms;
         count_over_quota(call, result);
         call_refuse(call, STATUS_TOO_MANY, CALL_OVER_QUOTA);
         return false;
-    case QUOTA_UNSURE:
+    case QUOTA_UNAVAILABLE:
         break;
     }
     call_refuse(call, STATUS_UNAVAILABLE, CALL_QUOTA_UNKNOWN);
@@ -91,8 +91,8 @@
         .time_left_ms = (uint32_t)MIN(call_time_left(call), UINT32_MAX),
     };
     quota_result_t result =
-        quota_client_ask(call->gateway->quotas, call->tenant, call->configuration->version, &asking,
-                         on_result, call, &call->quota.pending);
+        quota_client_acquire(call->gateway->quotas, call->tenant, call->configuration->version,
+                             &asking, on_result, call, &call->quota.pending);
     return apply_result(call, &result);
 }
 
@@ -123,9 +123,9 @@
 void call_quota_end(call_t *call) {
     call_quota_t *quota = &call->quota;
     if (quota->pending != NULL)
-        quota_ask_cancel(quota->pending);
+        quota_request_cancel(quota->pending);
     quota->pending = NULL;
     if (quota->token_held)
-        quota_client_give_back(call->gateway->quotas, call->tenant, quota->token_expires_at);
+        quota_client_return_grant(call->gateway->quotas, call->tenant, quota->token_expires_at);
     quota->token_held = false;
 }
--- a/src/gateway/call_send.c
+++ b/src/gateway/call_send.c
@@ -208,7 +208,7 @@
  */
 static void clear_last_engine(const call_t *call) {
     if (call->turn.budgeted)
-        store_client_tell_place(call->gateway->stores, call->program, 0);
+        store_client_report_engine(call->gateway->stores, call->program, 0);
 }
 
 static void on_failed(void *user, http_failure_t failure) {
@@ -269,7 +269,7 @@
     if (known || !call->turn.budgeted)
         return;
     call->last_engine = call->backend->id_hash;
-    store_client_tell_place(call->gateway->stores, call->program, call->last_engine);
+    store_client_report_engine(call->gateway->stores, call->program, call->last_engine);
 }
 
 /** Sends the call to its back end, where it is already counted as in progress. */
--- a/src/gateway/call_turn.c
+++ b/src/gateway/call_turn.c
@@ -39,7 +39,7 @@
     event_log(GATEWAY_RESERVE, call->id, call->program, call->turn.max_tokens,
               verdict_names[verdict]);
     bool has_space =
-        verdict != VERDICT_UNSURE || store_operation_has_room(call->turn.reserve_operation);
+        verdict != VERDICT_UNSURE || store_operation_has_space(call->turn.reserve_operation);
     if (verdict != VERDICT_YES)
         call->turn.reserve_operation = NULL;
     if (!has_space) {
@@ -50,8 +50,8 @@
         outage_end(&call->gateway->store_outage);
     if (verdict == VERDICT_YES) {
         call->turn.granted = true;
-        call->last_engine = store_operation_place(call->turn.reserve_operation);
-        call->turn.program_started = store_operation_begun(call->turn.reserve_operation);
+        call->last_engine = store_operation_last_engine(call->turn.reserve_operation);
+        call->turn.program_started = store_operation_program_started(call->turn.reserve_operation);
         call_turn_send_if_ready(call);
         return;
     }
@@ -97,7 +97,7 @@
 
 /** True if a storage operation can start; while isolation is being checked, it waits for that. */
 static bool stores_usable(store_client_t *stores) {
-    return store_client_connected(stores) || store_client_in_doubt(stores);
+    return store_client_connected(stores) || store_client_isolation_suspected(stores);
 }
 
 bool call_turn_refuse_if_isolated(call_t *call) {
--- a/src/gateway/directory_role.c
+++ b/src/gateway/directory_role.c
@@ -141,7 +141,7 @@
 
 static void on_source_group(void *owner, const message_t *message) {
     const gateway_t *gateway = owner;
-    store_client_take_group(gateway->stores, message);
+    store_client_apply_group_message(gateway->stores, message);
 }
 
 static void on_source_lost(void *owner) {
@@ -196,7 +196,7 @@
         without += recent && !report->has_stores;
     }
     if (without > gateway->peers_without_stores)
-        store_client_doubt(gateway->stores);
+        store_client_suspect_isolation(gateway->stores);
     gateway->peers_without_stores = without;
 }
 
--- a/src/gateway/directory_watch.c
+++ b/src/gateway/directory_watch.c
@@ -333,7 +333,7 @@
     if (!in_role || !gateway->directory_confirmed || !(changed || refresh_due) ||
         now < gateway->offered_at + OFFER_INTERVAL_MIN_MS)
         return;
-    store_client_offer_directory(gateway->stores, gateway->snapshot.revision);
+    store_client_announce_directory(gateway->stores, gateway->snapshot.revision);
     gateway->offered_revision = gateway->snapshot.revision;
     gateway->offered_links = links;
     gateway->offered_at = now;
@@ -362,7 +362,7 @@
     gateway_t *gateway = timer->data;
     uint64_t now = uv_now(gateway->loop);
     if (!gateway->backends_listed && directory_request_due(gateway->directory_requested_at, now) &&
-        store_client_ask_directory(gateway->stores))
+        store_client_request_directory(gateway->stores))
         gateway->directory_requested_at = now;
     unsigned expired = backends_remove_expired(&gateway->backends);
     if (expired > 0)
--- a/src/gateway/isolation.c
+++ b/src/gateway/isolation.c
@@ -18,7 +18,7 @@
 void gateway_watch_isolation(gateway_t *gateway) {
     uv_timer_init(gateway->loop, &gateway->idle_close_timer);
     gateway->idle_close_timer.data = gateway;
-    store_client_watch_zone(gateway->stores);
+    store_client_enable_isolation_check(gateway->stores);
     load_sharing_watch_stores(gateway->load_sharing);
 }
 
--- a/src/gateway/main.c
+++ b/src/gateway/main.c
@@ -58,7 +58,7 @@
 
 static void on_answer(void *owner, unsigned member, const message_t *message) {
     const gateway_t *gateway = owner;
-    quota_client_take_answer(gateway->quotas, member, message);
+    quota_client_handle_response(gateway->quotas, member, message);
 }
 
 static const store_client_handler_t store_handler = {
--- a/src/gateway/quota_client.c
+++ b/src/gateway/quota_client.c
@@ -40,8 +40,8 @@
     uv_loop_t *loop;
     store_client_t *stores;
     quota_bounds_t bounds;
-    GHashTable *tenants;            /**< Name to tenant_state_t. */
-    GHashTable *pending;            /**< Number of the outstanding message to its quota_ask_t. */
+    GHashTable *tenants; /**< Name to tenant_state_t. */
+    GHashTable *pending; /**< Number of the outstanding message to its quota_request_t. */
     GHashTable *unresponsive_until; /**< Member name to the end of its skip time. */
     GHashTable *program_aware;      /**< Names of members that have answered a program request. */
     GHashTable *legacy_until;       /**< Member name to the end of its backoff. */
@@ -49,7 +49,7 @@
     uint64_t requests;
 };
 
-struct quota_ask {
+struct quota_request {
     quota_client_t *client;
     uv_timer_t timer;
     uint64_t number; /**< Request number of the outstanding message. */
@@ -103,7 +103,7 @@
         return state;
     clear_members(state);
     state->generation = generation;
-    state->count = store_client_members(client->stores);
+    state->count = store_client_member_count(client->stores);
     state->ranks = g_new0(uint64_t, state->count + 1);
     state->empty_until = g_new0(uint64_t, state->count + 1);
     for (unsigned i = 0; i < state->count; i++)
@@ -155,7 +155,7 @@
  * Handles a response timeout. A member that has never answered a program request may run an earlier
  * version: it is treated as legacy and stays eligible for this call's plain request.
  */
-static void record_no_response(quota_ask_t *request) {
+static void record_no_response(quota_request_t *request) {
     const quota_client_t *client = request->client;
     const char *name = store_client_member_name(client->stores, request->member);
     bool legacy = request->at_home && !g_hash_table_contains(client->program_aware, name);
@@ -208,7 +208,7 @@
 }
 
 /** Sends @p message to the selected member and starts the response timeout. */
-static void send_to_member(quota_ask_t *request, message_t *message) {
+static void send_to_member(quota_request_t *request, message_t *message) {
     quota_client_t *client = request->client;
     request->requested_at = uv_now(client->loop);
     request->number = store_client_next_number(client->stores);
@@ -219,7 +219,7 @@
 }
 
 /** Sends the request to the program's home; false if there is none or it was tried or is legacy. */
-static bool request_from_home(quota_ask_t *request) {
+static bool request_from_home(quota_request_t *request) {
     quota_client_t *client = request->client;
     const tenant_state_t *state = find_tenant(client, request->tenant);
     quota_member_t *members = list_members(client, state, NULL);
@@ -247,7 +247,7 @@
  * Ends the request to the program's home: any member may be asked next. A program that the home did
  * not admit and that has not started gets the shorter token wait.
  */
-static void end_home_stage(quota_ask_t *request, bool admitted) {
+static void end_home_stage(quota_request_t *request, bool admitted) {
     g_clear_pointer(&request->program, g_free);
     request->at_home = false;
     if (!admitted && !request->begun)
@@ -255,68 +255,69 @@
 }
 
 /** Sends the request to the next member, or returns the final outcome. */
-static quota_result_t try_next_member(quota_ask_t *request) {
+static quota_result_t try_next_member(quota_request_t *request) {
     quota_client_t *client = request->client;
     if (request->generation != store_client_generation(client->stores)) {
         request->generation = store_client_generation(client->stores);
         g_free(request->tried);
-        request->tried = g_new0(bool, store_client_members(client->stores) + 1);
+        request->tried = g_new0(bool, store_client_member_count(client->stores) + 1);
     }
     if (request->program != NULL && request_from_home(request))
-        return (quota_result_t){.outcome = QUOTA_WAITING};
+        return (quota_result_t){.outcome = QUOTA_PENDING};
     if (request->program != NULL)
         end_home_stage(request, false);
     quota_decision_t decision = decide(client, request->tenant, &request->limit, request->tried);
     if (decision.step == QUOTA_UNREACHABLE)
-        return (quota_result_t){.outcome = QUOTA_UNSURE};
+        return (quota_result_t){.outcome = QUOTA_UNAVAILABLE};
     bool wait_for_token = decision.step == QUOTA_REFUSE && !request->waiting_for_token &&
                           decision.wait_ms <= request->token_wait_ms;
     if (decision.step == QUOTA_REFUSE && !wait_for_token)
-        return (quota_result_t){.outcome = QUOTA_OVER, .wait_ms = retry_after_ms(decision.wait_ms)};
+        return (quota_result_t){.outcome = QUOTA_EXCEEDED,
+                                .wait_ms = retry_after_ms(decision.wait_ms)};
     request->waiting_for_token = wait_for_token;
     request->member = decision.member;
     message_t message;
     message_init(&message, REQUEST_ALLOWANCE);
     message.wait_ms = wait_for_token ? request->token_wait_ms : 0;
     send_to_member(request, &message);
-    return (quota_result_t){.outcome = QUOTA_WAITING};
+    return (quota_result_t){.outcome = QUOTA_PENDING};
 }
 
 static void free_request(uv_handle_t *handle) {
-    quota_ask_t *request = handle->data;
+    quota_request_t *request = handle->data;
     g_free(request->tenant);
     g_free(request->program);
     g_free(request->tried);
     g_free(request);
 }
 
-void quota_ask_cancel(quota_ask_t *request) {
+void quota_request_cancel(quota_request_t *request) {
     g_hash_table_remove(request->client->pending, &request->number);
     uv_close((uv_handle_t *)&request->timer, free_request);
 }
 
-static void finish(quota_ask_t *request, const quota_result_t *result) {
+static void finish(quota_request_t *request, const quota_result_t *result) {
     quota_done_t done = request->done;
     void *owner = request->owner;
-    quota_ask_cancel(request);
+    quota_request_cancel(request);
     done(owner, result);
 }
 
-static void request_next(quota_ask_t *request) {
+static void request_next(quota_request_t *request) {
     g_hash_table_remove(request->client->pending, &request->number);
     quota_result_t result = try_next_member(request);
-    if (result.outcome != QUOTA_WAITING)
+    if (result.outcome != QUOTA_PENDING)
         finish(request, &result);
 }
 
-static void on_not_granted(quota_ask_t *request) {
+static void on_not_granted(quota_request_t *request) {
     if (request->generation == store_client_generation(request->client->stores))
         request->tried[request->member] = true;
     request_next(request);
 }
 
 static void on_timer(uv_timer_t *timer) {
-    quota_ask_t *request = timer->data;
+    quota_request_t *request = timer->data;
     if (request->promised_until > 0) {
         quota_result_t result = {.outcome = QUOTA_GRANTED, .until = request->promised_until};
         finish(request, &result);
@@ -327,7 +328,7 @@
     request_next(request);
 }
 
-static void set_call(quota_ask_t *request, const quota_call_t *call) {
+static void set_call(quota_request_t *request, const quota_call_t *call) {
     bool of_program = call->program != NULL;
     uint32_t token_wait_ms = MIN(call->time_left_ms / TOKEN_WAIT_DIVISOR, STARTED_TOKEN_WAIT_MS);
     request->token_wait_ms = of_program ? MAX(token_wait_ms, TOKEN_WAIT_MS) : TOKEN_WAIT_MS;
@@ -337,16 +338,16 @@
     request->kind = XXH64(call->route, strlen(call->route), 0);
 }
 
-quota_result_t quota_client_ask(quota_client_t *client, const tenant_t *tenant, uint64_t version,
-                                const quota_call_t *call, quota_done_t done, void *owner,
-                                quota_ask_t **request) {
+quota_result_t quota_client_acquire(quota_client_t *client, const tenant_t *tenant,
+                                    uint64_t version, const quota_call_t *call, quota_done_t done,
+                                    void *owner, quota_request_t **request) {
     /* An unused grant would let a new program bypass its home. */
     bool may_use = call->program == NULL || call->begun;
     uint64_t unused =
         may_use ? take_unused_grant(find_tenant(client, tenant->name), uv_now(client->loop)) : 0;
     if (unused > 0)
         return (quota_result_t){.outcome = QUOTA_GRANTED, .until = unused};
-    quota_ask_t *created = g_new0(quota_ask_t, 1);
+    quota_request_t *created = g_new0(quota_request_t, 1);
     created->client = client;
     created->tenant = g_strdup(tenant->name);
     created->limit = (quota_limit_t){version, tenant->rate, tenant->burst};
@@ -354,18 +355,18 @@
     created->owner = owner;
     set_call(created, call);
     created->generation = store_client_generation(client->stores);
-    created->tried = g_new0(bool, store_client_members(client->stores) + 1);
+    created->tried = g_new0(bool, store_client_member_count(client->stores) + 1);
     uv_timer_init(client->loop, &created->timer);
     created->timer.data = created;
     quota_result_t result = try_next_member(created);
-    if (result.outcome == QUOTA_WAITING)
+    if (result.outcome == QUOTA_PENDING)
         *request = created;
     else
-        quota_ask_cancel(created);
+        quota_request_cancel(created);
     return result;
 }
 
-void quota_client_give_back(quota_client_t *client, const tenant_t *tenant, uint64_t until) {
+void quota_client_return_grant(quota_client_t *client, const tenant_t *tenant, uint64_t until) {
     tenant_state_t *state = find_tenant(client, tenant->name);
     if (until >= uv_now(client->loop) && state->unused->len < UNUSED_GRANTS_MAX)
         g_array_append_val(state->unused, until);
@@ -385,7 +386,8 @@
 }
 
 /** Handles a response of the program's home; true if the home refused the program. */
-static bool handle_home_response(quota_ask_t *request, unsigned member, const message_t *message) {
+static bool handle_home_response(quota_request_t *request, unsigned member,
+                                 const message_t *message) {
     quota_client_t *client = request->client;
     if (!request->at_home || message->type != RESPONSE_ALLOWANCE)
         return false;
@@ -394,14 +396,16 @@
     end_home_stage(request, true);
     if (message->verdict != VERDICT_UNSURE)
         return false;
-    quota_result_t result = {
-        .outcome = QUOTA_OVER, .wait_ms = retry_after_ms(message->wait_ms), .not_begun = true};
+    quota_result_t result = {.outcome = QUOTA_EXCEEDED,
+                             .wait_ms = retry_after_ms(message->wait_ms),
+                             .program_refused = true};
     finish(request, &result);
     return true;
 }
 
-void quota_client_take_answer(quota_client_t *client, unsigned member, const message_t *message) {
-    quota_ask_t *request = g_hash_table_lookup(client->pending, &message->number);
+void quota_client_handle_response(quota_client_t *client, unsigned member,
+                                  const message_t *message) {
+    quota_request_t *request = g_hash_table_lookup(client->pending, &message->number);
     if (request == NULL)
         return;
     bool allowance = message->type == RESPONSE_ALLOWANCE;
@@ -427,7 +431,7 @@
     on_not_granted(request);
 }
 
-uint64_t quota_client_requests(const quota_client_t *client) {
+uint64_t quota_client_request_count(const quota_client_t *client) {
     return client->requests;
 }
 
--- a/src/gateway/quota_client.h
+++ b/src/gateway/quota_client.h
@@ -27,20 +27,20 @@
 
 typedef struct quota_client quota_client_t;
 /** A pending request of a call. */
-typedef struct quota_ask quota_ask_t;
+typedef struct quota_request quota_request_t;
 
 typedef enum {
     QUOTA_GRANTED,
-    QUOTA_OVER,    /**< The tenant is over its limit. */
-    QUOTA_UNSURE,  /**< No storage node responded. */
-    QUOTA_WAITING, /**< The outcome is reported by the callback. */
+    QUOTA_EXCEEDED,    /**< The tenant is over its limit. */
+    QUOTA_UNAVAILABLE, /**< No storage node responded. */
+    QUOTA_PENDING,     /**< The outcome is reported by the callback. */
 } quota_outcome_t;
 
 typedef struct {
     quota_outcome_t outcome;
-    uint64_t until;   /**< Of a grant: loop time in ms at which it expires. */
-    uint32_t wait_ms; /**< Over the limit: retry-after. */
-    bool not_begun;   /**< Over the limit: the home admits no new programs. */
+    uint64_t until;       /**< Of a grant: loop time in ms at which it expires. */
+    uint32_t wait_ms;     /**< Over the limit: retry-after. */
+    bool program_refused; /**< Over the limit: the home admits no new programs. */
 } quota_result_t;
 
 /** The call for which a token is requested. */
@@ -58,20 +58,21 @@
                                  const quota_bounds_t *bounds);
 /**
  * Requests a token for one call of @p tenant, with the limit of configuration @p version. If the
- * outcome is QUOTA_WAITING, @p request is set and @p done is called once, later.
+ * outcome is QUOTA_PENDING, @p request is set and @p done is called once, later.
  */
-quota_result_t quota_client_ask(quota_client_t *client, const tenant_t *tenant, uint64_t version,
-                                const quota_call_t *call, quota_done_t done, void *owner,
-                                quota_ask_t **request);
+quota_result_t quota_client_acquire(quota_client_t *client, const tenant_t *tenant,
+                                    uint64_t version, const quota_call_t *call, quota_done_t done,
+                                    void *owner, quota_request_t **request);
 /** Ends a request without a callback. */
-void quota_ask_cancel(quota_ask_t *request);
+void quota_request_cancel(quota_request_t *request);
 /** Returns an unused grant for another call of the tenant until it expires. */
-void quota_client_give_back(quota_client_t *client, const tenant_t *tenant, uint64_t until);
+void quota_client_return_grant(quota_client_t *client, const tenant_t *tenant, uint64_t until);
 /** Charges a member one token for a rerun of the tenant's call, which needs no grant. */
 void quota_client_charge(quota_client_t *client, const tenant_t *tenant, uint64_t version);
 /** Processes a member's response, including RESPONSE_OLD_GENERATION. */
-void quota_client_take_answer(quota_client_t *client, unsigned member, const message_t *message);
+void quota_client_handle_response(quota_client_t *client, unsigned member,
+                                  const message_t *message);
 /** Total number of requests sent to members. */
-uint64_t quota_client_requests(const quota_client_t *client);
+uint64_t quota_client_request_count(const quota_client_t *client);
 
 #endif
--- a/src/gateway/reports.c
+++ b/src/gateway/reports.c
@@ -133,7 +133,7 @@
     metrics_append(text, "calls_refused_zone_cut_total", counters->refused_zone_cut);
     metrics_append(text, "programs_not_begun_total", counters->programs_not_begun);
     metrics_append(text, "begun_over_quota_total", counters->begun_over_quota);
-    metrics_append(text, "quota_requests_total", quota_client_requests(gateway->quotas));
+    metrics_append(text, "quota_requests_total", quota_client_request_count(gateway->quotas));
     metrics_append(text, "chain_reads_total", counters->chain_reads);
     metrics_append(text, "engine_turns_new_total", counters->engines_new);
     metrics_append(text, "engine_turns_kept_total", counters->engines_kept);
--- a/src/gateway/store_client.c
+++ b/src/gateway/store_client.c
@@ -132,8 +132,8 @@
     return has_quorum(client, true) && !client->unresponsive && !client->isolation.isolated;
 }
 
-bool store_client_reaches(const store_client_t *client, const char *name,
-                          struct sockaddr_in *address) {
+bool store_client_direct_address(const store_client_t *client, const char *name,
+                                 struct sockaddr_in *address) {
     for (guint i = 0; i < client->members->len; i++) {
         const store_link_t *link = ((const member_t *)g_ptr_array_index(client->members, i))->link;
         if (strcmp(link->name, name) != 0)
@@ -162,7 +162,7 @@
 void store_client_set_group(store_client_t *client, const store_group_t *group) {
     if (group->generation <= client->group->generation)
         return;
-    event_log(GATEWAY_GROUP, group->generation, group->members->len);
+    event_log(GATEWAY_GROUP_CHANGED, group->generation, group->members->len);
     store_group_free(client->group);
     client->group = store_group_copy(group);
     GPtrArray *old = client->members;
@@ -185,7 +185,7 @@
     g_list_free(operations);
 }
 
-void store_client_take_group(store_client_t *client, const message_t *message) {
+void store_client_apply_group_message(store_client_t *client, const message_t *message) {
     gsize length;
     const void *data = g_bytes_get_data(message->group, &length);
     store_group_t *group = store_group_decode(data, length);
@@ -212,7 +212,7 @@
     if (valid)
         store_health_record_response(member, message.type);
     if (valid && message.type == MESSAGE_GROUP)
-        store_client_take_group(client, &message);
+        store_client_apply_group_message(client, &message);
     else if (valid && message.type == MESSAGE_GATEWAYS)
         client->handler->on_gateways(client->owner, message.ids, message.sources);
     else if (valid && message.type == REQUEST_DIRECTORY)
@@ -235,7 +235,7 @@
     return client->group->generation;
 }
 
-unsigned store_client_members(const store_client_t *client) {
+unsigned store_client_member_count(const store_client_t *client) {
     return client->members->len;
 }
 
@@ -269,7 +269,7 @@
     message_clear(message);
 }
 
-void store_client_tell_place(store_client_t *client, const char *program, uint64_t engine) {
+void store_client_report_engine(store_client_t *client, const char *program, uint64_t engine) {
     message_t message;
     message_init(&message, MESSAGE_PLACE);
     message.charge.program = g_strdup(program);
@@ -277,14 +277,14 @@
     broadcast(client, &message);
 }
 
-void store_client_offer_directory(const store_client_t *client, uint64_t revision) {
+void store_client_announce_directory(const store_client_t *client, uint64_t revision) {
     message_t message;
     message_init(&message, MESSAGE_DIRECTORY_KNOWN);
     message.revision = revision;
     broadcast(client, &message);
 }
 
-bool store_client_ask_directory(store_client_t *client) {
+bool store_client_request_directory(store_client_t *client) {
     for (guint i = 0; i < client->members->len; i++) {
         guint index = client->directory_requests++ % client->members->len;
         const member_t *member = g_ptr_array_index(client->members, index);
--- a/src/gateway/store_client.h
+++ b/src/gateway/store_client.h
@@ -4,9 +4,9 @@
  * quorum operations over them.
  *
  * Writes are sent to every member, and again to a member that reconnects. An operation without a
- * quorum fails after GATEWAY_WRITE_MS. This timeout must stay below EMPTY_DISK_WAIT_MS of
- * store/store_catch_up.c, the delay before a member with an empty disk catches up. It also bounds
- * which replies a gateway may count after a pause.
+ * quorum fails after GATEWAY_OPERATION_TIMEOUT_MS. This timeout must stay below EMPTY_DISK_WAIT_MS
+ * of store/store_catch_up.c, the delay before a member with an empty disk catches up. It also
+ * bounds which replies a gateway may count after a pause.
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -19,7 +19,7 @@
 #include <uv.h>
 
 /** Timeout of an operation. */
-enum { GATEWAY_WRITE_MS = 1500 };
+enum { GATEWAY_OPERATION_TIMEOUT_MS = 1500 };
 
 typedef struct store_client store_client_t;
 typedef struct store_operation store_operation_t;
@@ -43,7 +43,7 @@
 typedef struct {
     /** Addresses of the known gateways, and of those whose directory may be followed. */
     void (*on_gateways)(void *owner, const GPtrArray *addresses, const GPtrArray *sources);
-    /** A member sent its directory snapshot; see store_client_ask_directory. */
+    /** A member sent its directory snapshot; see store_client_request_directory. */
     void (*on_directory)(void *owner, GBytes *snapshot);
     /**
      * Encodes the directory to be sent to a storage node and sets @p revision; the caller
@@ -54,7 +54,8 @@
     bool (*find_relay)(void *owner, struct sockaddr_in *address);
     /** A response to a request of store_client_send_member. */
     void (*on_answer)(void *owner, unsigned member, const message_t *message);
-    /** The isolation of the zone began or ended; see store_client_watch_zone. May be NULL. */
+    /** The isolation of the zone began or ended; see store_client_enable_isolation_check. May be
+     * NULL. */
     void (*on_zone_isolation)(void *owner, bool isolated);
 } store_client_handler_t;
 
@@ -62,18 +63,18 @@
 store_client_t *store_client_new(uv_loop_t *loop, const char *zone, const char *own_address,
                                  const store_client_handler_t *handler, void *owner);
 /** Requests the directory from connected members in rotation; false if none is connected. */
-bool store_client_ask_directory(store_client_t *client);
+bool store_client_request_directory(store_client_t *client);
 /** Announces to the members that this gateway has the directory up to @p revision. */
-void store_client_offer_directory(const store_client_t *client, uint64_t revision);
+void store_client_announce_directory(const store_client_t *client, uint64_t revision);
 /** Number of links opened so far; a change means that a member may lack earlier updates. */
 unsigned store_client_links_opened(const store_client_t *client);
 /** True if the member @p name is connected directly; sets @p address. */
-bool store_client_reaches(const store_client_t *client, const char *name,
-                          struct sockaddr_in *address);
+bool store_client_direct_address(const store_client_t *client, const char *name,
+                                 struct sockaddr_in *address);
 /** Applies a group if its generation is later than the current one. */
 void store_client_set_group(store_client_t *client, const store_group_t *group);
 /** Applies the group in a MESSAGE_GROUP as store_client_set_group does; ignores an invalid one. */
-void store_client_take_group(store_client_t *client, const message_t *message);
+void store_client_apply_group_message(store_client_t *client, const message_t *message);
 /** True if a write quorum of members is connected and responsive, and the zone not isolated. */
 bool store_client_connected(const store_client_t *client);
 /** Like store_client_connected, but counts direct connections only. */
@@ -84,17 +85,17 @@
  * connected only after its first message, and operations without a verdict end as unsure when the
  * zone becomes isolated.
  */
-void store_client_watch_zone(store_client_t *client);
-bool store_client_zone_cut(const store_client_t *client);
+void store_client_enable_isolation_check(store_client_t *client);
+bool store_client_zone_isolated(const store_client_t *client);
 /** True while no quorum responds and isolation of the zone is not yet decided. */
-bool store_client_in_doubt(store_client_t *client);
+bool store_client_isolation_suspected(store_client_t *client);
 /** Checks for isolation after another gateway reported that it lost the quorum. */
-void store_client_doubt(store_client_t *client);
+void store_client_suspect_isolation(store_client_t *client);
 
 /** The group's generation, within which the members' indexes do not change. */
 uint64_t store_client_generation(const store_client_t *client);
 /** Number of members in the group. */
-unsigned store_client_members(const store_client_t *client);
+unsigned store_client_member_count(const store_client_t *client);
 const char *store_client_member_name(const store_client_t *client, unsigned member);
 /** True if @p member is connected, directly or through a relay. */
 bool store_client_member_open(const store_client_t *client, unsigned member);
@@ -112,16 +113,16 @@
                                         bool stores_turn, const store_operation_handler_t *handler,
                                         void *owner);
 /** Of a granted reserve: hash of the back end at which the program last ran; 0: unknown. */
-uint64_t store_operation_place(const store_operation_t *operation);
+uint64_t store_operation_last_engine(const store_operation_t *operation);
 /** Of a granted reserve: other calls of the program have spent or reserved tokens. */
-bool store_operation_begun(const store_operation_t *operation);
+bool store_operation_program_started(const store_operation_t *operation);
 /**
  * Of a reserve: false if so many members lack space for it, or for the turn if that will be stored,
  * that a write quorum with space is impossible.
  */
-bool store_operation_has_room(const store_operation_t *operation);
+bool store_operation_has_space(const store_operation_t *operation);
 /** Reports to the members the hash of the back end at which the program now runs; best effort. */
-void store_client_tell_place(store_client_t *client, const char *program, uint64_t engine);
+void store_client_report_engine(store_client_t *client, const char *program, uint64_t engine);
 store_operation_t *store_client_put_turn(store_client_t *client, const turn_t *turn,
                                          const store_operation_handler_t *handler, void *owner);
 /** Reads a turn and its ancestors. */
--- a/src/gateway/store_client_state.h
+++ b/src/gateway/store_client_state.h
@@ -1,7 +1,7 @@
 /**
  * @file store_client_state.h
  * Private state shared by store_client.c (members and their links), store_operation.c (quorum
- * operations) and store_silence.c (unresponsive members, isolation of the zone).
+ * operations) and store_health.c (unresponsive members, isolation of the zone).
  *
  * Thread safety: everything here belongs to the loop's thread.
  */
@@ -35,7 +35,7 @@
     unsigned directory_requests;
     bool unresponsive;            /**< No quorum of the connected members responds. */
     unsigned unresponsive_checks; /**< Failed checks in a row. */
-    bool isolation_enabled;       /**< See store_client_watch_zone. */
+    bool isolation_enabled;       /**< See store_client_enable_isolation_check. */
     zone_isolation_t isolation;
     uint64_t suspected_at; /**< When another gateway reported a lost quorum; 0: not suspected. */
     uv_timer_t check_timer;
@@ -76,7 +76,7 @@
 /** Index of @p member in client->members. */
 unsigned store_client_member_index(const store_client_t *client, const member_t *member);
 
-/* store_silence.c */
+/* store_health.c */
 
 void store_health_init(store_client_t *client);
 /** Periodic check for unresponsive members, every RECONNECT_INTERVAL_MS. */
--- a/src/gateway/store_silence.c
+++ b/src/gateway/store_health.c
@@ -60,7 +60,7 @@
     if (client->unresponsive == unresponsive)
         return;
     client->unresponsive = unresponsive;
-    event_log(GATEWAY_STORES_SILENT, unresponsive ? "yes" : "no");
+    event_log(GATEWAY_STORES_UNRESPONSIVE, unresponsive ? "yes" : "no");
 }
 
 static GBytes *status_request(void) {
@@ -142,8 +142,8 @@
         local += observation->local;
         unanswered += observation->probed_at > 0;
     }
-    event_log(GATEWAY_ZONE_CUT, isolated ? "yes" : "no", client->members->len, local, unanswered,
-              g_hash_table_size(client->operations), duration_ms);
+    event_log(GATEWAY_ZONE_ISOLATION, isolated ? "yes" : "no", client->members->len, local,
+              unanswered, g_hash_table_size(client->operations), duration_ms);
 }
 
 static void on_isolation_changed(store_client_t *client, uint64_t since) {
@@ -245,21 +245,21 @@
         schedule_check(client, ZONE_SUSPECT_AFTER_MS);
 }
 
-void store_client_watch_zone(store_client_t *client) {
+void store_client_enable_isolation_check(store_client_t *client) {
     client->isolation_enabled = true;
 }
 
-bool store_client_zone_cut(const store_client_t *client) {
+bool store_client_zone_isolated(const store_client_t *client) {
     return client->isolation.isolated;
 }
 
-bool store_client_in_doubt(store_client_t *client) {
+bool store_client_isolation_suspected(store_client_t *client) {
     check_isolation_now(client);
     return client->isolation_enabled &&
            zone_isolation_suspected(&client->isolation, uv_now(client->loop));
 }
 
-void store_client_doubt(store_client_t *client) {
+void store_client_suspect_isolation(store_client_t *client) {
     if (!client->isolation_enabled || client->isolation.isolated)
         return;
     client->suspected_at = uv_now(client->loop);
--- a/src/gateway/store_link.c
+++ b/src/gateway/store_link.c
@@ -57,7 +57,7 @@
 static void connection_ended(store_link_t *link) {
     close_direct(link);
     if (link->open)
-        event_log(GATEWAY_STORE_LOST, link->name);
+        event_log(GATEWAY_STORE_DISCONNECTED, link->name);
     link->open = false;
     link->has_received = false;
     link->connection = NULL;
--- a/src/gateway/store_operation.c
+++ b/src/gateway/store_operation.c
@@ -1,7 +1,7 @@
 /*
  * Quorum operations: each sends a request to the members of the store group and counts their
  * replies. An operation restarts when the group changes, since replies of an earlier generation are
- * not counted, and times out after GATEWAY_WRITE_MS.
+ * not counted, and times out after GATEWAY_OPERATION_TIMEOUT_MS.
  */
 #include "gateway/store_client_state.h"
 
@@ -105,7 +105,7 @@
     message_clear(&request);
 }
 
-bool store_operation_has_room(const store_operation_t *operation) {
+bool store_operation_has_space(const store_operation_t *operation) {
     unsigned members = operation->client->members->len;
     return count_replies(operation, operation->space_replies, REPLY_NO) <=
            members - store_write_quorum(members);
@@ -155,7 +155,7 @@
     uint64_t number = operation->number;
     if (!operation->granted) {
         verdict_t verdict = reserve_verdict(operation);
-        bool undecided = verdict == VERDICT_UNSURE && store_operation_has_room(operation);
+        bool undecided = verdict == VERDICT_UNSURE && store_operation_has_space(operation);
         if (undecided)
             return;
         report_verdict(operation, verdict, NULL);
@@ -175,7 +175,7 @@
     unsigned refused = count_replies(operation, operation->durable_replies, REPLY_NO);
     unsigned unanswered = count_replies(operation, operation->durable_replies, REPLY_NONE);
     const turn_t *turn = &g_array_index(operation->request.turns, turn_t, 0);
-    event_log(GATEWAY_TURN_NOT_KEPT, turn->id, complete, incomplete, refused, unanswered);
+    event_log(GATEWAY_TURN_NOT_STORED, turn->id, complete, incomplete, refused, unanswered);
 }
 
 static void evaluate_turn(store_operation_t *operation) {
@@ -336,7 +336,7 @@
 static void on_operation_timer(uv_timer_t *timer) {
     store_operation_t *operation = timer->data;
     store_client_t *client = operation->client;
-    if (uv_now(client->loop) >= operation->started_at + GATEWAY_WRITE_MS) {
+    if (uv_now(client->loop) >= operation->started_at + GATEWAY_OPERATION_TIMEOUT_MS) {
         expire_operation(operation);
         return;
     }
@@ -385,11 +385,11 @@
     return operation;
 }
 
-uint64_t store_operation_place(const store_operation_t *operation) {
+uint64_t store_operation_last_engine(const store_operation_t *operation) {
     return operation->last_engine;
 }
 
-bool store_operation_begun(const store_operation_t *operation) {
+bool store_operation_program_started(const store_operation_t *operation) {
     for (guint i = 0; i < operation->client->members->len; i++)
         if (operation->summaries[i].charged > operation->request.charge.most)
             return true;
--- a/src/gateway/store_relay.c
+++ b/src/gateway/store_relay.c
@@ -70,7 +70,7 @@
     store_relay_t *relay = session->relay;
     const char *name = message->ids->len == 1 ? g_ptr_array_index(message->ids, 0) : "";
     struct sockaddr_in address;
-    bool reached = store_client_reaches(relay->stores, name, &address);
+    bool reached = store_client_direct_address(relay->stores, name, &address);
     event_log(GATEWAY_RELAY, name, reached ? "begun" : "refused");
     if (reached)
         session->store = frame_connection_open(relay->loop, &address, &store_handler, session);
@@ -100,7 +100,7 @@
     message_t message;
     bool valid = message_decode(&message, data, length);
     if (valid && message.type == MESSAGE_GROUP)
-        store_client_take_group(relay->stores, &message);
+        store_client_apply_group_message(relay->stores, &message);
     if (valid && message.type == MESSAGE_RELAY) {
         start_session(session, &message);
     } else if (valid && message.type == REQUEST_FOLLOW && relay->feed != NULL &&
--- a/src/store/record_log.c
+++ b/src/store/record_log.c
@@ -24,7 +24,8 @@
     RECORD_HEADER_BYTES = 8,
     FILE_MODE = 0600,
     NS_PER_MS = 1000000,
-    /** Writes slower than this are logged; a third of the gateways' GATEWAY_WRITE_MS. */
+    /** Writes slower than this are logged; a third of the gateways' GATEWAY_OPERATION_TIMEOUT_MS.
+     */
     SLOW_WRITE_MS = 500,
 };
 
--- a/src/store/store_catch_up.c
+++ b/src/store/store_catch_up.c
@@ -23,7 +23,8 @@
 
 enum {
     POLL_INTERVAL_MS = 200,
-    EMPTY_DISK_WAIT_MS = 2000, /**< Must exceed GATEWAY_WRITE_MS of gateway/store_client.h. */
+    EMPTY_DISK_WAIT_MS =
+        2000, /**< Must exceed GATEWAY_OPERATION_TIMEOUT_MS of gateway/store_client.h. */
     TURNS_PER_REQUEST = 200,
     STEP_TIMEOUT_MS = 3000, /**< A copy restarts if one of its steps takes longer. */
     PAGE_TIMEOUT_MS = 300,  /**< A source without a response no longer blocks the others. */
--- a/src/storesim/quota_workload.c
+++ b/src/storesim/quota_workload.c
@@ -90,8 +90,8 @@
                       call);
         return;
     }
-    result.over += outcome->outcome == QUOTA_OVER;
-    result.unsure += outcome->outcome == QUOTA_UNSURE;
+    result.over += outcome->outcome == QUOTA_EXCEEDED;
+    result.unsure += outcome->outcome == QUOTA_UNAVAILABLE;
     g_free(call);
 }
 
@@ -121,10 +121,10 @@
         asking.program = name;
         asking.begun = caller->begun;
     }
-    quota_ask_t *ask;
-    quota_result_t outcome = quota_client_ask(caller->gateway->quotas, &caller->tenant->tenant, 1,
-                                              &asking, on_result, call, &ask);
-    if (outcome.outcome != QUOTA_WAITING)
+    quota_request_t *ask;
+    quota_result_t outcome = quota_client_acquire(caller->gateway->quotas, &caller->tenant->tenant,
+                                                  1, &asking, on_result, call, &ask);
+    if (outcome.outcome != QUOTA_PENDING)
         take_result(call, &outcome);
 }
 
--- a/src/storesim/world.c
+++ b/src/storesim/world.c
@@ -89,7 +89,7 @@
 
 static void on_answer(void *owner, unsigned member, const message_t *message) {
     const world_gateway_t *gateway = owner;
-    quota_client_take_answer(gateway->quotas, member, message);
+    quota_client_handle_response(gateway->quotas, member, message);
 }
 
 static const store_client_handler_t client_handler = {on_gateways, on_directory, read_directory,
@@ -101,7 +101,7 @@
     gateway->client = store_client_new(&process->loop, process->zone, process->address_text,
                                        &client_handler, gateway);
     if (gateway->world->watches_zones)
-        store_client_watch_zone(gateway->client);
+        store_client_enable_isolation_check(gateway->client);
     gateway->quotas = quota_client_new(&process->loop, gateway->client, &world_quota_bounds);
     store_relay_open(&process->loop, &process->address, gateway->client, NULL);
     key_value_watch_open(&process->loop, &process->address, "", key_value_prefix(KEY_OWN), 0,
@@ -160,7 +160,7 @@
     for (guint i = 0; i < world->gateways->len; i++) {
         const world_gateway_t *gateway = g_ptr_array_index(world->gateways, i);
         if (gateway->client != NULL)
-            store_client_watch_zone(gateway->client);
+            store_client_enable_isolation_check(gateway->client);
     }
 }
 
--- a/tests/unit/isolated_zone_test.cc
+++ b/tests/unit/isolated_zone_test.cc
@@ -88,21 +88,21 @@
     EXPECT_EQ(verdict.verdict, VERDICT_UNSURE);
     EXPECT_LE(verdict.at - started_at, detection_ms);
     store_client_settle(gateway(0)->client, "p1", "call", 10, 0);
-    EXPECT_TRUE(store_client_zone_cut(gateway(0)->client));
-    EXPECT_FALSE(store_client_zone_cut(gateway(1)->client)) << "another zone";
-    EXPECT_FALSE(store_client_zone_cut(gateway(4)->client)) << "it had no pending request";
-    store_client_doubt(gateway(4)->client);
+    EXPECT_TRUE(store_client_zone_isolated(gateway(0)->client));
+    EXPECT_FALSE(store_client_zone_isolated(gateway(1)->client)) << "another zone";
+    EXPECT_FALSE(store_client_zone_isolated(gateway(4)->client)) << "it had no pending request";
+    store_client_suspect_isolation(gateway(4)->client);
     run(detection_ms);
-    EXPECT_TRUE(store_client_zone_cut(gateway(4)->client)) << "after a neighbour's report";
+    EXPECT_TRUE(store_client_zone_isolated(gateway(4)->client)) << "after a neighbour's report";
     for (unsigned i = 0; i < 120; i++) { // Links through neighbours reopen repeatedly.
         run(50);
-        ASSERT_TRUE(store_client_zone_cut(gateway(0)->client)) << i;
+        ASSERT_TRUE(store_client_zone_isolated(gateway(0)->client)) << i;
         ASSERT_FALSE(store_client_connected(gateway(0)->client)) << i;
         ASSERT_FALSE(store_client_connected_directly(gateway(4)->client)) << i;
     }
     isolate_zone(false);
     run(3000);
-    EXPECT_FALSE(store_client_zone_cut(gateway(0)->client));
+    EXPECT_FALSE(store_client_zone_isolated(gateway(0)->client));
     EXPECT_TRUE(store_client_connected(gateway(0)->client));
     // The reservation made during isolation was settled with 0: the whole budget is available.
     Verdict whole;
@@ -118,10 +118,10 @@
     isolate_zone(true);
     Verdict verdict;
     reserve(0, "p1", &verdict);
-    store_client_doubt(gateway(0)->client);
+    store_client_suspect_isolation(gateway(0)->client);
     run(detection_ms);
     EXPECT_FALSE(verdict.decided);
-    EXPECT_FALSE(store_client_zone_cut(gateway(0)->client));
+    EXPECT_FALSE(store_client_zone_isolated(gateway(0)->client));
     run(1000);
     EXPECT_TRUE(verdict.decided) << "timed out after 1,500 ms";
 }
@@ -136,7 +136,7 @@
     for (unsigned i = 0; i < 40; i++) {
         run(50);
         for (guint j = 0; j < world->gateways->len; j++)
-            ASSERT_FALSE(store_client_zone_cut(gateway(j)->client)) << j;
+            ASSERT_FALSE(store_client_zone_isolated(gateway(j)->client)) << j;
     }
 }
 
@@ -149,7 +149,7 @@
             reserve(i, lost == 0 ? "p1" : "p2", &verdicts[i]);
         run(1000);
         for (guint i = 0; i < world->gateways->len; i++) {
-            EXPECT_FALSE(store_client_zone_cut(gateway(i)->client)) << i;
+            EXPECT_FALSE(store_client_zone_isolated(gateway(i)->client)) << i;
             EXPECT_EQ(verdicts[i].verdict, VERDICT_YES) << i;
         }
         world_start_store(store(lost), false);
@@ -166,7 +166,7 @@
     reserve(0, "p1", &verdict);
     run(3000);
     EXPECT_TRUE(store_client_connected(gateway(0)->client));
-    EXPECT_FALSE(store_client_zone_cut(gateway(0)->client));
+    EXPECT_FALSE(store_client_zone_isolated(gateway(0)->client));
 }
 
 } // namespace
--- a/tests/unit/store_room_test.cc
+++ b/tests/unit/store_room_test.cc
@@ -38,7 +38,7 @@
     const SentReserve *reserve = static_cast<const SentReserve *>(owner);
     bool refused = verdict == VERDICT_UNSURE;
     verdicts.given[verdict]++;
-    verdicts.without_space += refused && !store_operation_has_room(reserve->operation);
+    verdicts.without_space += refused && !store_operation_has_space(reserve->operation);
     verdicts.longest_ms = std::max(verdicts.longest_ms, virtual_now() - reserve->at);
 }
 
