--- a/src/core/quorum/store_group.c
+++ b/src/core/quorum/store_group.c
@@ -96,15 +96,15 @@
 }
 
 store_catch_up_t store_group_catch_up(const store_group_t *group, const char *name,
-                                      uint64_t complete_in) {
-    bool was_complete = complete_in > 0 && complete_in + 1 == group->generation &&
+                                      uint64_t complete_generation) {
+    bool was_complete = complete_generation > 0 && complete_generation + 1 == group->generation &&
                         store_group_find(group->previous, name) != NULL;
     if (was_complete) {
         /* A read quorum of the previous generation, this member included. */
         return (store_catch_up_t){
             .sources = group->previous,
             .needed = store_read_quorum(group->previous->len) - 1,
-            .min_source_generation = complete_in,
+            .min_source_generation = complete_generation,
         };
     }
     /* What this member acknowledged is also on write_quorum - 1 other members. */
--- a/src/core/quorum/store_group.h
+++ b/src/core/quorum/store_group.h
@@ -71,11 +71,11 @@
 } store_catch_up_t;
 
 /**
- * What member @p name must copy to become complete. @p complete_in: generation in which it was last
- * complete; 0: never, or its disk was lost.
+ * What member @p name must copy to become complete. @p complete_generation: generation in which it
+ * was last complete; 0: never, or its disk was lost.
  */
 store_catch_up_t store_group_catch_up(const store_group_t *group, const char *name,
-                                      uint64_t complete_in);
+                                      uint64_t complete_generation);
 
 void store_group_codec(codec_t *codec, store_group_t *group);
 GBytes *store_group_encode(store_group_t *group);
--- a/src/store/main.c
+++ b/src/store/main.c
@@ -34,7 +34,7 @@
         return EXIT_FAILURE;
     }
     metrics_page_t metrics;
-    if (!store_open_metrics(&store, &metrics)) {
+    if (!store_serve_metrics(&store, &metrics)) {
         char *text = g_strdup_printf("cannot listen for metrics on port %u",
                                      ntohs(settings->metrics.sin_port));
         event_log(NODE_FAILED, error_name(RUDDERWAY_ERROR_SYSTEM), text);
--- a/src/store/program_places.c
+++ b/src/store/program_affinity.c
@@ -1,4 +1,4 @@
-#include "store/program_places.h"
+#include "store/program_affinity.h"
 
 /** Once the table is full, new programs are not recorded. */
 enum { AFFINITY_ENTRIES_MAX = 200000 };
@@ -8,16 +8,16 @@
     uint64_t recorded_at;
 } affinity_entry_t;
 
-void program_places_init(program_places_t *affinity) {
+void program_affinity_init(program_affinity_t *affinity) {
     affinity->entries = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-void program_places_clear(program_places_t *affinity) {
+void program_affinity_clear(program_affinity_t *affinity) {
     g_hash_table_destroy(affinity->entries);
 }
 
-void program_places_note(program_places_t *affinity, const char *program, uint64_t backend,
-                         uint64_t now) {
+void program_affinity_record(program_affinity_t *affinity, const char *program, uint64_t backend,
+                             uint64_t now) {
     affinity_entry_t *entry = g_hash_table_lookup(affinity->entries, program);
     if (entry == NULL) {
         if (g_hash_table_size(affinity->entries) >= AFFINITY_ENTRIES_MAX)
@@ -29,12 +29,12 @@
     entry->recorded_at = now;
 }
 
-uint64_t program_places_find(const program_places_t *affinity, const char *program) {
+uint64_t program_affinity_find(const program_affinity_t *affinity, const char *program) {
     const affinity_entry_t *entry = g_hash_table_lookup(affinity->entries, program);
     return entry == NULL ? 0 : entry->backend;
 }
 
-void program_places_expire(program_places_t *affinity, uint64_t before) {
+void program_affinity_expire(program_affinity_t *affinity, uint64_t before) {
     GHashTableIter iterator;
     gpointer value;
     g_hash_table_iter_init(&iterator, affinity->entries);
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -10,15 +10,15 @@
 
 static bool segment_is_unused(void *owner, uint32_t segment) {
     const store_t *store = owner;
-    return turn_table_segment_unused(&store->turns, segment, store_record_time(store));
+    return turn_table_segment_unused(&store->turns, segment, store_expiry_clock_ms(store));
 }
 
-uint64_t store_record_time(const store_t *store) {
+uint64_t store_expiry_clock_ms(const store_t *store) {
     return record_clock_time(&store->clock, uv_now(store->loop));
 }
 
-void store_forget_expired(store_t *store) {
-    uint64_t time = store_record_time(store);
+void store_remove_expired(store_t *store) {
+    uint64_t time = store_expiry_clock_ms(store);
     store->last_expiry_at = time;
     turn_table_expire(&store->turns, time);
     if (time > BUDGET_RETENTION_MS)
@@ -33,12 +33,12 @@
 static void on_upkeep(uv_timer_t *timer) {
     store_t *store = timer->data;
     uint64_t now = uv_now(store->loop);
-    store_forget_expired(store);
+    store_remove_expired(store);
     space_reservations_expire(&store->reservations, now);
     if (has_expiring_records(store))
         store_append_time_mark(store);
     if (now > AFFINITY_RETENTION_MS)
-        program_places_expire(&store->affinity, now - AFFINITY_RETENTION_MS);
+        program_affinity_expire(&store->affinity, now - AFFINITY_RETENTION_MS);
     if (now > QUOTA_RETENTION_MS) {
         quota_table_expire(&store->quotas, now - QUOTA_RETENTION_MS);
         admission_table_expire(&store->admissions, now - QUOTA_RETENTION_MS);
@@ -52,7 +52,7 @@
     if (store->log == NULL)
         return false;
     record_clock_start(&store->clock, uv_now(store->loop));
-    store_forget_expired(store);
+    store_remove_expired(store);
     event_log(STORE_LOG_READ, store->records_replayed, g_hash_table_size(store->turns.entries),
               store->turns.bytes, record_log_bytes(store->log));
     bool restored = store_restore_state(store);
@@ -72,7 +72,7 @@
     store->connections = g_hash_table_new(g_int64_hash, g_int64_equal);
     turn_table_init(&store->turns);
     budget_table_init_replica(&store->budgets);
-    program_places_init(&store->affinity);
+    program_affinity_init(&store->affinity);
     space_reservations_init(&store->reservations);
     quota_table_init(&store->quotas, &store->settings->quota);
     admission_table_init(&store->admissions);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -22,7 +22,7 @@
 #include "core/turns/space_reservations.h"
 #include "net/frame_connection.h"
 #include "store/gateway_directory.h"
-#include "store/program_places.h"
+#include "store/program_affinity.h"
 #include "store/record_log.h"
 
 typedef struct store_catch_up store_catch_up_state_t;
@@ -33,11 +33,12 @@
     uv_loop_t *loop;
     const process_settings_t *settings;
     record_log_t *log;
-    record_clock_t clock;    /**< Determines the age of turns and charges; see store_record_time. */
+    record_clock_t
+        clock; /**< Determines the age of turns and charges; see store_expiry_clock_ms. */
     uint64_t last_expiry_at; /**< When expired records were last removed, by that clock. */
     turn_table_t turns;
     budget_table_t budgets;
-    program_places_t affinity;
+    program_affinity_t affinity;
     quota_table_t quotas;          /**< This member's shares of the tenants' limits. */
     admission_table_t admissions;  /**< Programs of these tenants that have their home here. */
     uint64_t admission_log_second; /**< Second in which the latest line was due. */
@@ -50,22 +51,23 @@
     bool group_durable;    /**< The state file on disk holds this group. */
     bool founding;         /**< On this disk since the system's first start: may found a group. */
     bool identity_durable; /**< The state file is on disk. */
-    uint64_t complete_in;  /**< Generation whose acknowledged records this node holds; 0: none. */
+    uint64_t
+        complete_generation; /**< Generation whose acknowledged records this node holds; 0: none. */
     uint64_t started_at;
     uv_timer_t upkeep; /**< Periodic expiry; the stop timeout once stopping. */
     bool stopping;
     latency_histogram_t write_latency; /**< From receipt of a write until it is on disk. */
     uint64_t writes_failed;
-    uint64_t last_write_failure_at;    /**< Loop time; 0: no write has failed. */
-    space_reservations_t reservations; /**< Space for the turns of running calls. */
-    uint64_t pending_turn_bytes;       /**< Size of the turns that are being written. */
-    uint64_t refused_for_room;         /**< Turns of running calls refused for lack of space. */
-    uint64_t taken_beyond_share;       /**< Such turns accepted above the limits for new turns. */
-    uint64_t reserves_refused;         /**< For lack of memory, or after a failed write. */
-    bool out_of_space;                 /**< The response to the last reserve allowed no new turn. */
-    uint64_t records_replayed;         /**< From the log, at startup. */
-    uint64_t turns_copied;             /**< From other members. */
-    uint64_t copy_looks;               /**< Turn ids examined while copying. */
+    uint64_t last_write_failure_at;     /**< Loop time; 0: no write has failed. */
+    space_reservations_t reservations;  /**< Space for the turns of running calls. */
+    uint64_t pending_turn_bytes;        /**< Size of the turns that are being written. */
+    uint64_t turns_refused_for_space;   /**< Turns of running calls refused for lack of space. */
+    uint64_t turns_accepted_over_limit; /**< Such turns accepted above the limits for new turns. */
+    uint64_t reserves_refused;          /**< For lack of memory, or after a failed write. */
+    bool out_of_space;          /**< The response to the last reserve allowed no new turn. */
+    uint64_t records_replayed;  /**< From the log, at startup. */
+    uint64_t turns_copied;      /**< From other members. */
+    uint64_t copy_ids_examined; /**< Turn ids examined while copying. */
     store_catch_up_state_t *catch_up;
     store_membership_t *membership;
     store_directory_t *directory;
@@ -85,23 +87,23 @@
  */
 bool store_open(store_t *store, GError **error);
 /** Time in ms by which turns and charges expire; stops while the node is down (record_clock.h). */
-uint64_t store_record_time(const store_t *store);
+uint64_t store_expiry_clock_ms(const store_t *store);
 /** Removes expired turns and charges. */
-void store_forget_expired(store_t *store);
+void store_remove_expired(store_t *store);
 
 /* store_state.c: persistent state of the node and its group. */
 
 /** Adopts a group if it is later than the current one, and sends it to all connections. */
 void store_adopt_group(store_t *store, const store_group_t *group);
 /** True if this node holds all records that its group has acknowledged. */
-bool store_complete(const store_t *store);
+bool store_is_complete(const store_t *store);
 bool store_is_member(const store_t *store);
 /** Marks this node as complete in @p generation, effective once the state file is on disk. */
-void store_set_complete(store_t *store, uint64_t generation);
+void store_set_complete_generation(store_t *store, uint64_t generation);
 /** Writes the state file, asynchronously. */
 void store_write_state(store_t *store);
 /** True if no write of the state file is pending. */
-bool store_state_settled(const store_t *store);
+bool store_state_is_written(const store_t *store);
 /** Restores identity and group from the state file; false if there is no valid one. */
 bool store_restore_state(store_t *store);
 /** Sends the group to one connection. */
@@ -111,7 +113,7 @@
 
 extern const frame_handler_t store_request_handler;
 /** Memory in the buffers of all connections, in bytes. */
-size_t store_buffer_bytes(const store_t *store);
+size_t store_connections_buffer_bytes(const store_t *store);
 /** Initializes the list of gateways. */
 void store_requests_init(store_t *store);
 /** Appends a time mark to the log if one is due; called before each record and periodically. */
@@ -120,7 +122,7 @@
 void store_append_copy(store_t *store, message_t *record, void (*done)(void *owner, bool durable),
                        void *owner);
 
-/* store_room.c: admission by free space. */
+/* store_space.c: admission by free space. */
 
 /** True if there is space for one more turn; logs each change of the result. */
 bool store_can_start_turn(store_t *store);
@@ -150,7 +152,7 @@
 /* store_metrics.c */
 
 /** Serves metrics if the settings name an address; false if it cannot be listened on. */
-bool store_open_metrics(store_t *store, metrics_page_t *page);
+bool store_serve_metrics(store_t *store, metrics_page_t *page);
 
 /* store_membership.c: the group in the key-value service. */
 
--- a/src/store/store_catch_up.c
+++ b/src/store/store_catch_up.c
@@ -320,13 +320,13 @@
         return;
     /* After a timeout, requires a newer status so that an unresponsive source is not retried. */
     bool status_received = peer->answered_at > 0 && peer->answered_at >= copy->step_since;
-    bool usable =
-        peer->connection != NULL && status_received && peer->complete_in >= min_source_generation;
+    bool usable = peer->connection != NULL && status_received &&
+                  peer->complete_generation >= min_source_generation;
     if (!usable || now < catch_up->pause_until || !no_page_pending(catch_up, now))
         return;
     if (copy->started_at == 0)
         copy->started_at = now;
-    store_forget_expired(catch_up->store);
+    store_remove_expired(catch_up->store);
     request_page(copy);
 }
 
@@ -366,7 +366,7 @@
 
 static void stop_catch_up(store_catch_up_state_t *catch_up) {
     if (catch_up->fetch_plan != NULL)
-        catch_up->store->copy_looks += fetch_plan_examined(catch_up->fetch_plan);
+        catch_up->store->copy_ids_examined += fetch_plan_examined(catch_up->fetch_plan);
     clear_copies(catch_up);
     catch_up->generation = 0;
     if (catch_up->running)
@@ -388,7 +388,7 @@
     store_catch_up_state_t *catch_up = store->catch_up;
     if (catch_up == NULL)
         return;
-    if (!store_is_member(store) || store_complete(store)) {
+    if (!store_is_member(store) || store_is_complete(store)) {
         stop_catch_up(catch_up);
         return;
     }
@@ -398,7 +398,7 @@
         return;
     }
     store_catch_up_t plan =
-        store_group_catch_up(store->group, store->settings->name, store->complete_in);
+        store_group_catch_up(store->group, store->settings->name, store->complete_generation);
     bool disk_was_empty = plan.sources == store->group->members;
     if (disk_was_empty && uv_now(store->loop) < store->started_at + EMPTY_DISK_WAIT_MS)
         return;
@@ -416,7 +416,7 @@
     if (count_done(catch_up) < plan.needed || catch_up->finishing || !store->group_durable)
         return;
     catch_up->finishing = true;
-    store_set_complete(store, store->group->generation);
+    store_set_complete_generation(store, store->group->generation);
 }
 
 store_catch_up_state_t *store_catch_up_new(store_t *store) {
--- a/src/store/store_directory.c
+++ b/src/store/store_directory.c
@@ -178,7 +178,7 @@
     if (directory->revision == 0)
         return;
     size_t queued_bytes = frame_connection_backlog(connection);
-    size_t held = store_buffer_bytes(directory->store);
+    size_t held = store_connections_buffer_bytes(directory->store);
     size_t memory = directory->store->settings->memory_megabytes * MEGABYTE;
     if (!directory_response_due(queued_bytes, held, memory)) {
         event_log(STORE_DIRECTORY_DEFERRED, (uint64_t)queued_bytes, (uint64_t)held);
@@ -272,7 +272,7 @@
 static void write_if_changed(store_directory_t *directory) {
     if (!directory->changed || now(directory) < directory->written_at + STATE_WRITE_INTERVAL_MS)
         return;
-    if (!store_state_settled(directory->store))
+    if (!store_state_is_written(directory->store))
         return;
     directory->changed = false;
     directory->written_at = now(directory);
--- a/src/store/store_index.c
+++ b/src/store/store_index.c
@@ -80,11 +80,11 @@
 
 void store_send_index(store_t *store, frame_connection_t *connection, const message_t *request) {
     if (request->page <= 1)
-        store_forget_expired(store);
+        store_remove_expired(store);
     index_t index = {.store = store};
     message_init(&index.response, RESPONSE_INDEX);
     index.response.number = request->number;
-    index.response.generation = store->complete_in;
+    index.response.generation = store->complete_generation;
     record_digest_compute(&index.local, &store->turns, &store->budgets);
     record_digest_decode(&index.remote, request->digest);
     if (choose_page(&index, request) > 0)
--- a/src/store/store_membership.c
+++ b/src/store/store_membership.c
@@ -259,11 +259,11 @@
     for (guint i = 0; i < members->len; i++) {
         const store_member_t *member = &g_array_index(members, store_member_t, i);
         if (strcmp(member->name, store->settings->name) == 0) {
-            complete += store_complete(store);
+            complete += store_is_complete(store);
             continue;
         }
         const store_peer_t *peer = obtain_peer(membership, member);
-        complete += peer->answered_at > 0 && peer->complete_in == store->group->generation;
+        complete += peer->answered_at > 0 && peer->complete_generation == store->group->generation;
     }
     return complete;
 }
--- a/src/store/store_metrics.c
+++ b/src/store/store_metrics.c
@@ -9,21 +9,21 @@
     metrics_append(text, "store_generation", store->group->generation);
     metrics_append(text, "store_members", store->group->members->len);
     metrics_append(text, "store_member", store_is_member(store));
-    metrics_append(text, "store_complete", store_complete(store));
+    metrics_append(text, "store_complete", store_is_complete(store));
     metrics_append(text, "store_turns", g_hash_table_size(store->turns.entries));
     metrics_append(text, "store_turn_bytes", store->turns.bytes);
     metrics_append(text, "store_held_turn_bytes", store_reserved_turn_bytes(store));
     metrics_append(text, "store_charge_bytes", budget_table_bytes(&store->budgets));
     metrics_append(text, "store_log_bytes", record_log_bytes(store->log));
     metrics_append(text, "store_connections", g_hash_table_size(store->connections));
-    metrics_append(text, "store_connection_buffer_bytes", store_buffer_bytes(store));
+    metrics_append(text, "store_connection_buffer_bytes", store_connections_buffer_bytes(store));
     metrics_append(text, "store_gateways", gateway_directory_count(&store->gateways));
     metrics_append(text, "store_writes_failed_total", store->writes_failed);
-    metrics_append(text, "store_no_room_total", store->refused_for_room);
-    metrics_append(text, "store_taken_beyond_share_total", store->taken_beyond_share);
+    metrics_append(text, "store_no_room_total", store->turns_refused_for_space);
+    metrics_append(text, "store_taken_beyond_share_total", store->turns_accepted_over_limit);
     metrics_append(text, "store_reserves_refused_total", store->reserves_refused);
     metrics_append(text, "store_turns_copied_total", store->turns_copied);
-    metrics_append(text, "store_copy_looks_total", store->copy_looks);
+    metrics_append(text, "store_copy_looks_total", store->copy_ids_examined);
     metrics_append(text, "store_tenants", g_hash_table_size(store->quotas.buckets));
     metrics_append(text, "store_allowances_granted_total", store->quotas.granted);
     metrics_append(text, "store_allowances_refused_total", store->quotas.refused);
@@ -36,6 +36,6 @@
     latency_histogram_append(&store->write_latency, "rudderway_store_write_ms", NULL, text);
 }
 
-bool store_open_metrics(store_t *store, metrics_page_t *page) {
+bool store_serve_metrics(store_t *store, metrics_page_t *page) {
     return metrics_page_open(page, store->loop, store->settings, append_metrics, store);
 }
--- a/src/store/store_peer.c
+++ b/src/store/store_peer.c
@@ -29,7 +29,7 @@
     if (valid && message.type == RESPONSE_STATUS) {
         peer->answered_at = uv_now(peer->store->loop);
         peer->unanswered_since = 0;
-        peer->complete_in = message.generation;
+        peer->complete_generation = message.generation;
     }
     /* Must come last: adopting a group may free this peer. */
     if (valid && message.type == MESSAGE_GROUP)
--- a/src/store/store_replay.c
+++ b/src/store/store_replay.c
@@ -7,12 +7,12 @@
 /** Removes expired records as in normal operation, so that a replay needs no more memory. */
 static void replay_time_mark(store_t *store, uint64_t mark) {
     record_clock_replay(&store->clock, mark);
-    if (store_record_time(store) >= store->last_expiry_at + STORE_UPKEEP_INTERVAL_MS)
-        store_forget_expired(store);
+    if (store_expiry_clock_ms(store) >= store->last_expiry_at + STORE_UPKEEP_INTERVAL_MS)
+        store_remove_expired(store);
 }
 
 static void replay_charge(store_t *store, uint32_t segment, const budget_charge_t *charge) {
-    uint64_t time = store_record_time(store);
+    uint64_t time = store_expiry_clock_ms(store);
     budget_table_merge(&store->budgets, charge, time);
     budget_table_mark_durable(&store->budgets, charge);
     turn_table_keep_segment(&store->turns, segment, time + BUDGET_RETENTION_MS);
@@ -31,7 +31,7 @@
     case REQUEST_PUT_TURN:
         if (record->turns->len == 1)
             turn_table_add(&store->turns, &g_array_index(record->turns, turn_t, 0), segment,
-                           store_record_time(store));
+                           store_expiry_clock_ms(store));
         break;
     case RECORD_TIME:
         replay_time_mark(store, record->time);
--- a/src/store/store_requests.c
+++ b/src/store/store_requests.c
@@ -7,7 +7,7 @@
  * charges, and again when it is on disk. The sender decides over a quorum whether the budget
  * allows it.
  *
- * Failures: requests for which there is no space are refused (store_room.c). A member that is not
+ * Failures: requests for which there is no space are refused (store_space.c). A member that is not
  * complete answers "unsure" instead of "not found" and accepts no reserves, but it stores turns
  * and so still reports whether there is space for one.
  */
@@ -70,12 +70,13 @@
 static verdict_t durable_verdict(const store_t *store, bool durable) {
     if (!durable)
         return VERDICT_NO;
-    return store_complete(store) ? VERDICT_YES : VERDICT_UNSURE;
+    return store_is_complete(store) ? VERDICT_YES : VERDICT_UNSURE;
 }
 
 static void mark_charge_durable(store_t *store, const budget_charge_t *charge, uint32_t segment) {
     budget_table_mark_durable(&store->budgets, charge);
-    turn_table_keep_segment(&store->turns, segment, store_record_time(store) + BUDGET_RETENTION_MS);
+    turn_table_keep_segment(&store->turns, segment,
+                            store_expiry_clock_ms(store) + BUDGET_RETENTION_MS);
 }
 
 static void on_write_done(void *owner, bool durable, uint32_t segment) {
@@ -84,7 +85,7 @@
     if (write->turn.id != NULL)
         store->pending_turn_bytes -= turn_memory_bytes(&write->turn);
     if (durable && write->turn.id != NULL)
-        turn_table_add(&store->turns, &write->turn, segment, store_record_time(store));
+        turn_table_add(&store->turns, &write->turn, segment, store_expiry_clock_ms(store));
     else if (durable)
         mark_charge_durable(store, &write->charge, segment);
     frame_connection_t *connection = requester_connection(write);
@@ -157,7 +158,7 @@
     message_init(&response, RESPONSE_RESERVE);
     response.number = request->number;
     response.generation = store->group->generation;
-    bool complete = store_complete(store);
+    bool complete = store_is_complete(store);
     bool accepted = complete && store_can_accept_reserve(store, charge);
     response.verdict = accepted ? VERDICT_YES : complete ? VERDICT_NO : VERDICT_UNSURE;
     response.room = store_can_start_turn(store);
@@ -166,8 +167,8 @@
         space_reservations_add(&store->reservations, charge->call, now(store));
     if (accepted) {
         response.summary = budget_table_reserve(&store->budgets, charge->program, charge->call,
-                                                charge->most, store_record_time(store));
-        response.place = program_places_find(&store->affinity, charge->program);
+                                                charge->most, store_expiry_clock_ms(store));
+        response.place = program_affinity_find(&store->affinity, charge->program);
         append_charge(store, connection, request, record);
     }
     frame_connection_send(connection, message_encode(&response));
@@ -207,7 +208,7 @@
     if (charge->spent == 0 && !store_can_accept_reserve(store, charge))
         return;
     budget_table_settle(&store->budgets, charge->program, charge->call, charge->spent,
-                        store_record_time(store));
+                        store_expiry_clock_ms(store));
     request->charge.settled = true;
     append_charge(store, connection, request, record);
 }
@@ -240,7 +241,7 @@
     response.generation = store->group->generation;
     const turn_t *turn = turn_table_find(&store->turns, request->turn_id);
     if (turn == NULL)
-        response.verdict = store_complete(store) ? VERDICT_NO : VERDICT_UNSURE;
+        response.verdict = store_is_complete(store) ? VERDICT_NO : VERDICT_UNSURE;
     for (unsigned i = 0; turn != NULL && i < CHAIN_TURNS_MAX; i++) {
         message_add_turn(&response, turn);
         turn = *turn->parent == '\0' ? NULL : turn_table_find(&store->turns, turn->parent);
@@ -262,7 +263,7 @@
         message_add_turn(&response, turn);
         turn_t *copy = &g_array_index(response.turns, turn_t, response.turns->len - 1);
         copy->retention_ms =
-            turn_table_remaining_ms(&store->turns, turn->id, store_record_time(store));
+            turn_table_remaining_ms(&store->turns, turn->id, store_expiry_clock_ms(store));
     }
     frame_connection_send(connection, message_encode(&response));
     message_clear(&response);
@@ -280,8 +281,8 @@
 
 static void send_status(store_t *store, frame_connection_t *connection, const message_t *request) {
     /* A generation that is not on disk could be lost: the requester must not rely on it. */
-    uint64_t complete_in = store->group_durable ? store->complete_in : 0;
-    send_response(connection, RESPONSE_STATUS, request->number, complete_in, VERDICT_YES);
+    uint64_t complete_generation = store->group_durable ? store->complete_generation : 0;
+    send_response(connection, RESPONSE_STATUS, request->number, complete_generation, VERDICT_YES);
 }
 
 /* Quotas of tenants. */
@@ -337,7 +338,7 @@
     program_call_t call = {
         .program = XXH64(program, strlen(program), 0),
         .kind = request->kind,
-        .begun = request->begun || program_places_find(&store->affinity, program) != 0,
+        .begun = request->begun || program_affinity_find(&store->affinity, program) != 0,
         .late = request->late,
     };
     program_share_t share = {0};
@@ -481,7 +482,8 @@
         charge_quota(store, &request);
         break;
     case MESSAGE_PLACE:
-        program_places_note(&store->affinity, request.charge.program, request.place, now(store));
+        program_affinity_record(&store->affinity, request.charge.program, request.place,
+                                now(store));
         break;
     case MESSAGE_DIRECTORY:
         store_directory_take(store->directory, &request);
@@ -528,7 +530,7 @@
 
 const frame_handler_t store_request_handler = {on_open, on_frame, on_closed};
 
-size_t store_buffer_bytes(const store_t *store) {
+size_t store_connections_buffer_bytes(const store_t *store) {
     size_t bytes = 0;
     GHashTableIter iterator;
     gpointer connection;
@@ -540,7 +542,7 @@
 
 static void merge_copy(store_t *store, const budget_charge_t *charge, write_t *write) {
     write->charge = budget_charge_copy(charge);
-    budget_table_merge(&store->budgets, charge, store_record_time(store));
+    budget_table_merge(&store->budgets, charge, store_expiry_clock_ms(store));
 }
 
 void store_append_copy(store_t *store, message_t *record, void (*done)(void *owner, bool durable),
--- a/src/store/store_room.c
+++ b/src/store/store_space.c
@@ -82,8 +82,8 @@
     bool failing = disk_is_failing(store);
     bool has_space = !failing && turns_fit(store, &start_limits, incoming);
     if (has_space == store->out_of_space)
-        event_log(STORE_ROOM, has_space ? "yes" : "no", failing ? "fails" : "works",
-                  store->refused_for_room, store->turns.bytes,
+        event_log(STORE_SPACE_CHANGED, has_space ? "yes" : "no", failing ? "fails" : "works",
+                  store->turns_refused_for_space, store->turns.bytes,
                   memory_limit(store, start_limits.turns), incoming,
                   budget_table_bytes(&store->budgets), record_log_bytes(store->log),
                   disk_limit(store, start_limits.disk));
@@ -94,8 +94,8 @@
 bool store_accept_started_turn(store_t *store) {
     uint64_t incoming = store->pending_turn_bytes;
     bool has_space = turns_fit(store, &started_limits, incoming);
-    store->refused_for_room += !has_space;
-    store->taken_beyond_share += has_space && !turns_fit(store, &start_limits, incoming);
+    store->turns_refused_for_space += !has_space;
+    store->turns_accepted_over_limit += has_space && !turns_fit(store, &start_limits, incoming);
     return has_space;
 }
 
--- a/src/store/store_state.c
+++ b/src/store/store_state.c
@@ -9,9 +9,9 @@
 #include "common/event.h"
 #include "store/store_directory.h"
 
-static void state_codec(codec_t *codec, store_t *store, uint64_t *complete_in) {
+static void state_codec(codec_t *codec, store_t *store, uint64_t *complete_generation) {
     codec_bool(codec, &store->founding);
-    codec_uint64(codec, complete_in);
+    codec_uint64(codec, complete_generation);
     store_group_codec(codec, store->group);
     /* State files of earlier versions end here, without the directory. */
     bool ends = codec->decoding && codec->position == codec->length;
@@ -22,7 +22,7 @@
 typedef struct {
     store_t *store;
     uint64_t generation;
-    uint64_t complete_in;
+    uint64_t complete_generation;
 } state_write_t;
 
 static void on_state_written(void *owner, bool durable, uint32_t segment) {
@@ -34,35 +34,36 @@
         store->identity_durable = true;
         store->group_durable =
             store->group_durable || write->generation == store->group->generation;
-        if (write->complete_in > store->complete_in) {
-            store->complete_in = write->complete_in;
-            event_log(STORE_COMPLETE, store->complete_in, g_hash_table_size(store->turns.entries));
+        if (write->complete_generation > store->complete_generation) {
+            store->complete_generation = write->complete_generation;
+            event_log(STORE_COMPLETE, store->complete_generation,
+                      g_hash_table_size(store->turns.entries));
         }
     }
     g_free(write);
 }
 
-static void write_state(store_t *store, uint64_t complete_in) {
+static void write_state(store_t *store, uint64_t complete_generation) {
     codec_t codec;
     codec_start_encoding(&codec);
-    state_codec(&codec, store, &complete_in);
+    state_codec(&codec, store, &complete_generation);
     state_write_t *write = g_new0(state_write_t, 1);
     write->store = store;
     write->generation = store->group->generation;
-    write->complete_in = complete_in;
+    write->complete_generation = complete_generation;
     store->pending_state_writes++;
     record_log_write_state(store->log, codec_finish(&codec), on_state_written, write);
 }
 
-bool store_state_settled(const store_t *store) {
+bool store_state_is_written(const store_t *store) {
     return store->pending_state_writes == 0;
 }
 
 void store_write_state(store_t *store) {
-    write_state(store, store->complete_in);
+    write_state(store, store->complete_generation);
 }
 
-void store_set_complete(store_t *store, uint64_t generation) {
+void store_set_complete_generation(store_t *store, uint64_t generation) {
     write_state(store, generation);
 }
 
@@ -74,12 +75,12 @@
     const void *data = g_bytes_get_data(state, &length);
     codec_t codec;
     codec_start_decoding(&codec, data, length);
-    state_codec(&codec, store, &store->complete_in);
+    state_codec(&codec, store, &store->complete_generation);
     bool valid = codec_complete(&codec);
     g_bytes_unref(state);
     if (!valid) {
         store->founding = false;
-        store->complete_in = 0;
+        store->complete_generation = 0;
         store_group_free(store->group);
         store->group = store_group_new();
         return false;
@@ -104,8 +105,8 @@
     return store_group_find(store->group->members, store->settings->name) != NULL;
 }
 
-bool store_complete(const store_t *store) {
-    return store->group->generation > 0 && store->complete_in == store->group->generation;
+bool store_is_complete(const store_t *store) {
+    return store->group->generation > 0 && store->complete_generation == store->group->generation;
 }
 
 void store_adopt_group(store_t *store, const store_group_t *group) {
@@ -123,7 +124,7 @@
               store_is_member(store) ? "yes" : "no");
     /* Nothing was acknowledged before the first group: a founding member is complete in it. */
     bool complete = group->generation == 1 && store->founding && store_is_member(store);
-    write_state(store, complete ? 1 : store->complete_in);
+    write_state(store, complete ? 1 : store->complete_generation);
     GHashTableIter iterator;
     gpointer connection;
     g_hash_table_iter_init(&iterator, store->connections);
--- a/src/storesim/main.c
+++ b/src/storesim/main.c
@@ -193,7 +193,7 @@
     virtual_after(CHECK_AT_MS - WORK_FROM_MS, NULL, check_all, NULL);
     virtual_run(END_AT_MS);
     workload_result_t result = *workload_result();
-    result.no_room = world_refused_for_room(world);
+    result.no_room = world_turns_refused_for_space(world);
     return result;
 }
 
--- a/src/storesim/virtual_disk.c
+++ b/src/storesim/virtual_disk.c
@@ -146,10 +146,10 @@
     return log->disk->state == NULL ? NULL : g_bytes_ref(log->disk->state);
 }
 
-void record_log_trim(record_log_t *log, bool (*unneeded)(void *owner, uint32_t segment),
+void record_log_trim(record_log_t *log, bool (*is_unused)(void *owner, uint32_t segment),
                      void *owner) {
     (void)log;
-    (void)unneeded;
+    (void)is_unused;
     (void)owner;
 }
 
--- a/src/storesim/world.c
+++ b/src/storesim/world.c
@@ -17,13 +17,13 @@
 }
 
 /** Turns that came when no more might begin, whether they were taken all the same or not. */
-static uint64_t refused_for_room(const store_t *store) {
-    return store->refused_for_room + store->taken_beyond_share;
+static uint64_t turns_refused_for_space(const store_t *store) {
+    return store->turns_refused_for_space + store->turns_accepted_over_limit;
 }
 
 void world_end_store(world_store_t *store, world_end_t end) {
     virtual_disk_t *disk = virtual_disk_of(store->process);
-    store->world->refused_for_room += refused_for_room(store->store);
+    store->world->turns_refused_for_space += turns_refused_for_space(store->store);
     store->store = NULL;
     virtual_process_end(store->process);
     virtual_key_value_process_ended(store->process);
@@ -185,11 +185,11 @@
     return world;
 }
 
-uint64_t world_refused_for_room(const world_t *world) {
-    uint64_t refused = world->refused_for_room;
+uint64_t world_turns_refused_for_space(const world_t *world) {
+    uint64_t refused = world->turns_refused_for_space;
     for (guint i = 0; i < world->stores->len; i++) {
         const world_store_t *store = g_ptr_array_index(world->stores, i);
-        refused += store->store == NULL ? 0 : refused_for_room(store->store);
+        refused += store->store == NULL ? 0 : turns_refused_for_space(store->store);
     }
     return refused;
 }
@@ -216,7 +216,7 @@
             return false;
         if (store_group_find(group->members, store->settings.name) == NULL)
             continue;
-        if (store->store == NULL || !store_complete(store->store) ||
+        if (store->store == NULL || !store_is_complete(store->store) ||
             store->store->group->generation != group->generation)
             return false;
     }
--- a/src/storesim/world.h
+++ b/src/storesim/world.h
@@ -57,10 +57,10 @@
 typedef struct world {
     bool relays; /**< Gateways pass frames on for one that is cut off. */
     bool watches_zones;
-    uint64_t
-        refused_for_room; /**< Turns for which storage nodes that have ended since had no room. */
-    GPtrArray *stores;    /**< Of world_store_t. */
-    GPtrArray *gateways;  /**< Of world_gateway_t. */
+    uint64_t turns_refused_for_space; /**< Turns for which storage nodes that have ended since had
+                                         no room. */
+    GPtrArray *stores;                /**< Of world_store_t. */
+    GPtrArray *gateways;              /**< Of world_gateway_t. */
 } world_t;
 
 /** How exactly tenants' limits are held in the simulated deployment. */
@@ -82,7 +82,7 @@
 /** True if every member of the group is up and complete, and nothing counts as lost. */
 bool world_is_sound(const world_t *world);
 /** Turns for which storage nodes had no room, because they held too many. */
-uint64_t world_refused_for_room(const world_t *world);
+uint64_t world_turns_refused_for_space(const world_t *world);
 /** The newest group that any running storage node knows; NULL: none. */
 const store_group_t *world_group(const world_t *world);
 
--- a/tests/unit/catch_up_test.cc
+++ b/tests/unit/catch_up_test.cc
@@ -79,7 +79,7 @@
     const world_t *world = restart_with_empty_disk(turns, charges);
     virtual_run(virtual_now() + catch_up_timeout_ms);
     const store_t *store = storage_node(world, 0)->store;
-    return {store->turns_copied, store->copy_looks, store_complete(store)};
+    return {store->turns_copied, store->copy_ids_examined, store_is_complete(store)};
 }
 
 TEST(CatchUp, CopiesEachTurnOnce) {
@@ -117,7 +117,7 @@
         virtual_run(virtual_now() + 1);
     const uint64_t copying = virtual_now();
     storage_node(world, GetParam())->process->paused_until = copying + catch_up_timeout_ms;
-    while (!store_complete(store) && virtual_now() < copying + catch_up_timeout_ms)
+    while (!store_is_complete(store) && virtual_now() < copying + catch_up_timeout_ms)
         virtual_run(virtual_now() + 1);
     EXPECT_LT(virtual_now() - copying, frozen_source_limit_ms);
 }
--- a/tests/unit/engine_choice_test.cc
+++ b/tests/unit/engine_choice_test.cc
@@ -6,7 +6,7 @@
 
 extern "C" {
 #include "core/routing/engine_choice.h"
-#include "store/program_places.h"
+#include "store/program_affinity.h"
 }
 
 namespace {
@@ -128,17 +128,17 @@
 }
 
 TEST(ProgramPlaces, TheLatestPlaceIsReturnedUntilItExpires) {
-    program_places_t places;
-    program_places_init(&places);
-    EXPECT_EQ(program_places_find(&places, "p"), 0u);
-    program_places_note(&places, "p", 5, 1000);
-    program_places_note(&places, "p", 6, 2000);
-    program_places_note(&places, "q", 7, 1000);
-    EXPECT_EQ(program_places_find(&places, "p"), 6u);
-    program_places_expire(&places, 1500);
-    EXPECT_EQ(program_places_find(&places, "p"), 6u);
-    EXPECT_EQ(program_places_find(&places, "q"), 0u);
-    program_places_clear(&places);
+    program_affinity_t affinity;
+    program_affinity_init(&affinity);
+    EXPECT_EQ(program_affinity_find(&affinity, "p"), 0u);
+    program_affinity_record(&affinity, "p", 5, 1000);
+    program_affinity_record(&affinity, "p", 6, 2000);
+    program_affinity_record(&affinity, "q", 7, 1000);
+    EXPECT_EQ(program_affinity_find(&affinity, "p"), 6u);
+    program_affinity_expire(&affinity, 1500);
+    EXPECT_EQ(program_affinity_find(&affinity, "p"), 6u);
+    EXPECT_EQ(program_affinity_find(&affinity, "q"), 0u);
+    program_affinity_clear(&affinity);
 }
 
 } // namespace
--- a/tests/unit/store_growth_test.cc
+++ b/tests/unit/store_growth_test.cc
@@ -53,7 +53,7 @@
     virtual_run(virtual_now() + recovery_timeout_ms);
     EXPECT_EQ(node(0)->store->group->members->len, 3u);
     for (unsigned i : {0u, 1u, 3u})
-        EXPECT_TRUE(store_complete(node(i)->store)) << node(i)->settings.name;
+        EXPECT_TRUE(store_is_complete(node(i)->store)) << node(i)->settings.name;
 }
 
 } // namespace
--- a/tests/unit/store_room_test.cc
+++ b/tests/unit/store_space_test.cc
@@ -204,7 +204,7 @@
 // towards the quorum.
 TEST_F(TurnRoom, OfAnIncompleteMemberCounts) {
     fill(0);
-    node(2)->store->complete_in = 0;
+    node(2)->store->complete_generation = 0;
     reserve(0, true, immediate_ms);
     EXPECT_EQ(verdicts.given[VERDICT_YES], 1u);
 }
