--- a/src/cluster/far_gateway.c
+++ b/src/cluster/remote_gateway.c
@@ -1,4 +1,4 @@
-#include "cluster/far_gateway.h"
+#include "cluster/remote_gateway.h"
 
 #include "cluster/service_directory.h"
 
@@ -6,11 +6,11 @@
 
 enum { MARK = '@' };
 
-char *far_gateway_format(const char *zone, const char *address) {
+char *remote_gateway_format(const char *zone, const char *address) {
     return g_strdup_printf("%c%s %s", MARK, zone, address);
 }
 
-bool far_gateway_parse(const char *text, char **zone, struct sockaddr_in *address) {
+bool remote_gateway_parse(const char *text, char **zone, struct sockaddr_in *address) {
     const char *space = text[0] == MARK ? strrchr(text, ' ') : NULL;
     if (space == NULL || !parse_socket_address(space + 1, address))
         return false;
--- a/src/core/configuration/listing_schedule.h
+++ b/src/core/configuration/listing_schedule.h
@@ -7,7 +7,7 @@
  * while all back ends of a new system register at once.
  *
  * A starting gateway therefore reads only the store group's key and waits. The gateways of lowest
- * rank in a zone's root cell (store/gateway_directory.h) list the service; the others receive the
+ * rank in a zone's root cell (store/gateway_registry.h) list the service; the others receive the
  * view from storage nodes or from a gateway that has it. A gateway that receives none lists the
  * service itself after a timeout.
  *
--- a/src/core/quorum/store_group.c
+++ b/src/core/quorum/store_group.c
@@ -95,20 +95,20 @@
     return MIN(store_read_quorum(members), members - 1);
 }
 
-store_catch_up_t store_group_catch_up(const store_group_t *group, const char *name,
-                                      uint64_t complete_generation) {
+store_catch_up_plan_t store_group_catch_up(const store_group_t *group, const char *name,
+                                           uint64_t complete_generation) {
     bool was_complete = complete_generation > 0 && complete_generation + 1 == group->generation &&
                         store_group_find(group->previous, name) != NULL;
     if (was_complete) {
         /* A read quorum of the previous generation, this member included. */
-        return (store_catch_up_t){
+        return (store_catch_up_plan_t){
             .sources = group->previous,
             .needed = store_read_quorum(group->previous->len) - 1,
             .min_source_generation = complete_generation,
         };
     }
     /* What this member acknowledged is also on write_quorum - 1 other members. */
-    return (store_catch_up_t){
+    return (store_catch_up_plan_t){
         .sources = group->members,
         .needed = store_group_sources_needed(group->members->len),
         .min_source_generation = group->generation,
--- a/src/core/quorum/store_group.h
+++ b/src/core/quorum/store_group.h
@@ -68,14 +68,14 @@
     const GArray *sources; /**< Members to copy records from; the member itself is skipped. */
     unsigned needed;       /**< Number of sources to copy from. */
     uint64_t min_source_generation; /**< Minimum generation in which a source must be complete. */
-} store_catch_up_t;
+} store_catch_up_plan_t;
 
 /**
  * What member @p name must copy to become complete. @p complete_generation: generation in which it
  * was last complete; 0: never, or its disk was lost.
  */
-store_catch_up_t store_group_catch_up(const store_group_t *group, const char *name,
-                                      uint64_t complete_generation);
+store_catch_up_plan_t store_group_catch_up(const store_group_t *group, const char *name,
+                                           uint64_t complete_generation);
 
 void store_group_codec(codec_t *codec, store_group_t *group);
 GBytes *store_group_encode(store_group_t *group);
--- a/src/directorysim/world.c
+++ b/src/directorysim/world.c
@@ -16,8 +16,8 @@
 
 world_t world;
 
-static gateway_directory_t directory; /**< As the storage nodes have it. */
-static GPtrArray *serials;            /**< Of all connections of gateways to storage nodes ever. */
+static gateway_registry_t directory; /**< As the storage nodes have it. */
+static GPtrArray *serials;           /**< Of all connections of gateways to storage nodes ever. */
 static GBytes *kept;
 static bool telling;
 
@@ -45,7 +45,7 @@
     return copy;
 }
 
-static void tell_gateway(void *user, const uint64_t *serial, const gateway_list_t *list) {
+static void tell_gateway(void *user, const uint64_t *serial, const gateway_peer_list_t *list) {
     (void)user;
     for (guint i = 0; i < world.gateways->len; i++) {
         world_gateway_t *gateway = g_ptr_array_index(world.gateways, i);
@@ -60,7 +60,7 @@
 static void tell_gateways(void *data) {
     (void)data;
     telling = false;
-    gateway_directory_tell(&directory, tell_gateway, NULL);
+    gateway_registry_notify(&directory, tell_gateway, NULL);
 }
 
 static void tell_soon(void) {
@@ -75,13 +75,13 @@
     g_ptr_array_add(serials, serial);
     *serial = serials->len;
     gateway->listed_as = *serial;
-    gateway_directory_add(&directory, serial, gateway->process->address_text,
-                          gateway->process->zone);
+    gateway_registry_add(&directory, serial, gateway->process->address_text,
+                         gateway->process->zone);
     tell_soon();
 }
 
 static void gateway_forgotten(void *data) {
-    gateway_directory_remove(&directory, data);
+    gateway_registry_remove(&directory, data);
     tell_soon();
 }
 
@@ -170,7 +170,7 @@
     virtual_network_keep_alive(KEEP_ALIVE_MS);
     virtual_datagrams_start();
     virtual_service_start();
-    gateway_directory_init(&directory);
+    gateway_registry_init(&directory);
     serials = g_ptr_array_new();
     kept = NULL;
     telling = false;
--- a/src/directorysim/world.h
+++ b/src/directorysim/world.h
@@ -12,7 +12,7 @@
 
 #include "directorysim/virtual_service.h"
 #include "gateway/gateway.h"
-#include "store/gateway_directory.h"
+#include "store/gateway_registry.h"
 #include "storesim/virtual_loop.h"
 #include "storesim/virtual_network.h"
 
--- a/src/gateway/directory_role.c
+++ b/src/gateway/directory_role.c
@@ -7,7 +7,7 @@
  * seen when there is no gateway to follow, or when another gateway reports a change that the source
  * did not deliver. Only watching gateways can be followed, which rules out cycles.
  *
- * In a large zone this applies to the root cell (store/gateway_directory.h). In each other cell the
+ * In a large zone this applies to the root cell (store/gateway_registry.h). In each other cell the
  * first few live gateways follow a gateway of the root cell, one of their *sources*, whether that
  * one watches the service or follows another one, and the rest of the cell follows them. A source
  * whose view becomes stale, or that lacks a change known elsewhere, is replaced by the next one.
--- a/src/gateway/zone_loads.c
+++ b/src/gateway/zone_loads.c
@@ -1,6 +1,6 @@
 #include "gateway/zone_loads.h"
 
-#include "cluster/far_gateway.h"
+#include "cluster/remote_gateway.h"
 #include "gateway/load_report.h"
 
 #include <arpa/inet.h>
@@ -60,7 +60,7 @@
     GPtrArray *gateways = g_ptr_array_new_with_free_func(free_gateway);
     for (guint i = 0; i < texts->len; i++) {
         remote_gateway_t *gateway = g_new0(remote_gateway_t, 1);
-        if (far_gateway_parse(g_ptr_array_index(texts, i), &gateway->zone, &gateway->address))
+        if (remote_gateway_parse(g_ptr_array_index(texts, i), &gateway->zone, &gateway->address))
             g_ptr_array_add(gateways, gateway);
         else
             free_gateway(gateway);
--- a/src/store/gateway_directory.c
+++ b/src/store/gateway_registry.c
@@ -1,6 +1,6 @@
-#include "store/gateway_directory.h"
+#include "store/gateway_registry.h"
 
-#include "cluster/far_gateway.h"
+#include "cluster/remote_gateway.h"
 #include "cluster/service_directory.h"
 
 #include <string.h>
@@ -17,7 +17,7 @@
 } gateway_entry_t;
 
 typedef struct {
-    gateway_list_t list;
+    gateway_peer_list_t list;
     GPtrArray *entries; /**< Of gateway_entry_t. */
 } cell_t;
 
@@ -35,21 +35,21 @@
     g_free(entry);
 }
 
-void gateway_directory_init(gateway_directory_t *directory) {
+void gateway_registry_init(gateway_registry_t *directory) {
     directory->gateways = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_entry);
     directory->addresses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-void gateway_directory_clear(gateway_directory_t *directory) {
+void gateway_registry_clear(gateway_registry_t *directory) {
     g_hash_table_destroy(directory->gateways);
     g_hash_table_destroy(directory->addresses);
 }
 
-unsigned gateway_directory_count(const gateway_directory_t *directory) {
+unsigned gateway_registry_count(const gateway_registry_t *directory) {
     return g_hash_table_size(directory->gateways);
 }
 
-static void add_connection(gateway_directory_t *directory, const char *address) {
+static void add_connection(gateway_registry_t *directory, const char *address) {
     unsigned *count = g_hash_table_lookup(directory->addresses, address);
     if (count == NULL) {
         count = g_new0(unsigned, 1);
@@ -58,7 +58,7 @@
     (*count)++;
 }
 
-static void remove_connection(gateway_directory_t *directory, const char *address) {
+static void remove_connection(gateway_registry_t *directory, const char *address) {
     unsigned *count = g_hash_table_lookup(directory->addresses, address);
     if (--*count == 0)
         g_hash_table_remove(directory->addresses, address);
@@ -72,9 +72,9 @@
     return (host << PORT_BITS) | ntohs(parsed.sin_port);
 }
 
-void gateway_directory_add(gateway_directory_t *directory, const uint64_t *serial,
-                           const char *address, const char *zone) {
-    gateway_directory_remove(directory, serial);
+void gateway_registry_add(gateway_registry_t *directory, const uint64_t *serial,
+                          const char *address, const char *zone) {
+    gateway_registry_remove(directory, serial);
     gateway_entry_t *entry = g_new0(gateway_entry_t, 1);
     entry->address = g_strdup(address);
     entry->zone = g_strdup(zone);
@@ -84,7 +84,7 @@
     add_connection(directory, address);
 }
 
-bool gateway_directory_remove(gateway_directory_t *directory, const uint64_t *serial) {
+bool gateway_registry_remove(gateway_registry_t *directory, const uint64_t *serial) {
     const gateway_entry_t *entry = g_hash_table_lookup(directory->gateways, serial);
     if (entry == NULL)
         return false;
@@ -92,13 +92,13 @@
     return g_hash_table_remove(directory->gateways, serial);
 }
 
-bool gateway_directory_has(const gateway_directory_t *directory, const char *address) {
+bool gateway_registry_contains(const gateway_registry_t *directory, const char *address) {
     return g_hash_table_contains(directory->addresses, address);
 }
 
-unsigned gateway_directory_cells(unsigned gateways) {
+unsigned gateway_registry_cell_count(unsigned gateways) {
     unsigned cells = 1;
-    while (cells * GATEWAYS_CELL_MOST < gateways)
+    while (cells * GATEWAYS_CELL_MEAN_MAX < gateways)
         cells *= 2;
     return cells;
 }
@@ -111,7 +111,7 @@
         g_ptr_array_unref(zone->cells[i].entries);
         g_ptr_array_unref(zone->cells[i].list.known);
         g_ptr_array_unref(zone->cells[i].list.sources);
-        g_ptr_array_unref(zone->cells[i].list.far);
+        g_ptr_array_unref(zone->cells[i].list.remote);
     }
     g_free(zone->cells);
     g_ptr_array_unref(zone->entries);
@@ -133,13 +133,13 @@
 }
 
 static void build_cells(zone_t *zone, bool full_mesh) {
-    zone->cell_count = full_mesh ? 1 : gateway_directory_cells(zone->entries->len);
+    zone->cell_count = full_mesh ? 1 : gateway_registry_cell_count(zone->entries->len);
     zone->cells = g_new0(cell_t, zone->cell_count);
     for (unsigned i = 0; i < zone->cell_count; i++) {
         zone->cells[i].entries = g_ptr_array_new();
         zone->cells[i].list.known = g_ptr_array_new();
         zone->cells[i].list.sources = g_ptr_array_new();
-        zone->cells[i].list.far = g_ptr_array_new_with_free_func(g_free);
+        zone->cells[i].list.remote = g_ptr_array_new_with_free_func(g_free);
     }
     for (guint i = 0; i < zone->entries->len; i++) {
         gateway_entry_t *entry = g_ptr_array_index(zone->entries, i);
@@ -162,13 +162,13 @@
 }
 
 static void build_list(cell_t *cell, const cell_t *root) {
-    gateway_list_t *list = &cell->list;
+    gateway_peer_list_t *list = &cell->list;
     for (guint i = 0; i < cell->entries->len; i++) {
         const gateway_entry_t *entry = g_ptr_array_index(cell->entries, i);
         g_ptr_array_add(list->known, entry->address);
         list->digest += entry->hash;
     }
-    for (guint i = 0; cell != root && i < MIN(root->entries->len, GATEWAYS_SOURCES); i++) {
+    for (guint i = 0; cell != root && i < MIN(root->entries->len, GATEWAYS_SOURCES_MAX); i++) {
         const gateway_entry_t *entry = g_ptr_array_index(root->entries, i);
         g_ptr_array_add(list->sources, entry->address);
         list->digest += XXH64(&entry->hash, sizeof entry->hash, SOURCES_SEED);
@@ -193,8 +193,8 @@
             continue;
         for (guint i = 0; i < other->entries->len; i++) {
             const gateway_entry_t *entry = g_ptr_array_index(other->entries, i);
-            gateway_list_t *list = &zone->cells[0].list;
-            g_ptr_array_add(list->far, far_gateway_format(entry->zone, entry->address));
+            gateway_peer_list_t *list = &zone->cells[0].list;
+            g_ptr_array_add(list->remote, remote_gateway_format(entry->zone, entry->address));
             list->digest += XXH64(&entry->hash, sizeof entry->hash, REMOTE_SEED);
         }
     }
@@ -211,8 +211,8 @@
     }
 }
 
-static GHashTable *build_zones(const gateway_directory_t *directory) {
-    bool full_mesh = gateway_directory_count(directory) <= GATEWAYS_FEW;
+static GHashTable *build_zones(const gateway_registry_t *directory) {
+    bool full_mesh = gateway_registry_count(directory) <= GATEWAYS_FULL_MESH_MAX;
     GHashTable *zones = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_zone);
     GHashTableIter iterator;
     gpointer value;
@@ -226,16 +226,16 @@
         build_cells(value, full_mesh);
         build_lists(value);
     }
-    if (!full_mesh && gateway_directory_count(directory) <= GATEWAYS_FAR_MOST)
+    if (!full_mesh && gateway_registry_count(directory) <= GATEWAYS_REMOTE_MAX)
         add_all_remote(zones);
     return zones;
 }
 
-void gateway_directory_tell(gateway_directory_t *directory,
-                            void (*notify)(void *user, const uint64_t *serial,
-                                           const gateway_list_t *list),
-                            void *user) {
-    bool full_mesh = gateway_directory_count(directory) <= GATEWAYS_FEW;
+void gateway_registry_notify(gateway_registry_t *directory,
+                             void (*notify)(void *user, const uint64_t *serial,
+                                            const gateway_peer_list_t *list),
+                             void *user) {
+    bool full_mesh = gateway_registry_count(directory) <= GATEWAYS_FULL_MESH_MAX;
     GHashTable *zones = build_zones(directory);
     GHashTableIter iterator;
     gpointer serial;
@@ -244,7 +244,7 @@
     while (g_hash_table_iter_next(&iterator, &serial, &value)) {
         gateway_entry_t *entry = value;
         const zone_t *zone = g_hash_table_lookup(zones, full_mesh ? "" : entry->zone);
-        const gateway_list_t *list = &cell_of(zone, entry)->list;
+        const gateway_peer_list_t *list = &cell_of(zone, entry)->list;
         if (entry->notified_digest == list->digest)
             continue;
         entry->notified_digest = list->digest;
--- a/src/store/gateway_directory.h
+++ b/src/store/gateway_registry.h
@@ -1,11 +1,12 @@
 /**
- * @file gateway_directory.h
+ * @file gateway_registry.h
  * The gateways connected to a storage node, and the peers that each gateway exchanges load reports
- * with. Up to GATEWAYS_FEW gateways form a full mesh. Of more, each gateway knows those of its zone
- * and, up to GATEWAYS_FAR_MOST in all, those of other zones (see gateway/zone_loads.h). The
- * gateways of a large zone are divided into *cells* by a hash of their address, with at most
- * GATEWAYS_CELL_MOST per cell on average, and know those of their cell. This bounds the lists and
- * the load reports of each gateway independently of the size of the fleet.
+ * with. Up to GATEWAYS_FULL_MESH_MAX gateways form a full mesh. Of more, each gateway knows those
+ * of its zone and, up to GATEWAYS_REMOTE_MAX in all, those of other zones (see
+ * gateway/zone_loads.h). The gateways of a large zone are divided into *cells* by a hash of their
+ * address, with at most GATEWAYS_CELL_MEAN_MAX per cell on average, and know those of their cell.
+ * This bounds the lists and the load reports of each gateway independently of the size of the
+ * fleet.
  *
  * The gateways of the first cell of a zone, its root, watch the key-value service. Those of the
  * other cells follow the first gateways of the root cell, their *sources*.
@@ -15,59 +16,59 @@
  *
  * Decision code; an object belongs to one thread.
  */
-#ifndef RUDDERWAY_STORE_GATEWAY_DIRECTORY_H
-#define RUDDERWAY_STORE_GATEWAY_DIRECTORY_H
+#ifndef RUDDERWAY_STORE_GATEWAY_REGISTRY_H
+#define RUDDERWAY_STORE_GATEWAY_REGISTRY_H
 
 #include <glib.h>
 #include <stdbool.h>
 #include <stdint.h>
 
 enum {
-    GATEWAYS_FEW = 32, /**< Largest full mesh. */
+    GATEWAYS_FULL_MESH_MAX = 32, /**< Largest full mesh. */
     /**
      * Maximum mean size of a cell. The period of load reports grows with the size of the cell
      * (gateway/load_report.c). In cells of up to 81 gateways, which hashing with a mean of 48
      * practically never exceeds, it does not exceed the 1,200 ms after which the watch state of a
      * peer is considered stale.
      */
-    GATEWAYS_CELL_MOST = 48,
+    GATEWAYS_CELL_MEAN_MAX = 48,
     /** Sources of a gateway; several, since the service may be unreachable for some of them. */
-    GATEWAYS_SOURCES = 8,
+    GATEWAYS_SOURCES_MAX = 8,
     /** Up to this many, gateways of zones with a single cell know those of other such zones. */
-    GATEWAYS_FAR_MOST = 128,
+    GATEWAYS_REMOTE_MAX = 128,
 };
 
 typedef struct {
     GHashTable *gateways;  /**< Serial number of a connection to its gateway. */
     GHashTable *addresses; /**< Address of a gateway to its number of connections. */
-} gateway_directory_t;
+} gateway_registry_t;
 
 /** Peers of a gateway; the same for all gateways of a cell. */
 typedef struct {
     GPtrArray *known;   /**< Addresses of its cell, including its own; of char *. */
     GPtrArray *sources; /**< Addresses to follow; empty in a root cell. */
-    GPtrArray *far;     /**< Gateways of other zones, in the format of far_gateway.h. */
+    GPtrArray *remote;  /**< Gateways of other zones, in the format of remote_gateway.h. */
     uint64_t digest;    /**< Of all three, independent of their order. */
-} gateway_list_t;
+} gateway_peer_list_t;
 
-void gateway_directory_init(gateway_directory_t *directory);
-void gateway_directory_clear(gateway_directory_t *directory);
-unsigned gateway_directory_count(const gateway_directory_t *directory);
+void gateway_registry_init(gateway_registry_t *directory);
+void gateway_registry_clear(gateway_registry_t *directory);
+unsigned gateway_registry_count(const gateway_registry_t *directory);
 /** Adds the gateway of a connection; @p serial must outlive its entry. */
-void gateway_directory_add(gateway_directory_t *directory, const uint64_t *serial,
-                           const char *address, const char *zone);
+void gateway_registry_add(gateway_registry_t *directory, const uint64_t *serial,
+                          const char *address, const char *zone);
 /** Removes the gateway of a connection; false if it has none. */
-bool gateway_directory_remove(gateway_directory_t *directory, const uint64_t *serial);
-bool gateway_directory_has(const gateway_directory_t *directory, const char *address);
+bool gateway_registry_remove(gateway_registry_t *directory, const uint64_t *serial);
+bool gateway_registry_contains(const gateway_registry_t *directory, const char *address);
 /** Number of cells of a zone with @p gateways gateways. */
-unsigned gateway_directory_cells(unsigned gateways);
+unsigned gateway_registry_cell_count(unsigned gateways);
 /**
  * Calls @p notify for each gateway whose list has changed since the last call. A list is valid
  * until this function returns; gateways of the same cell share one list.
  */
-void gateway_directory_tell(gateway_directory_t *directory,
-                            void (*notify)(void *user, const uint64_t *serial,
-                                           const gateway_list_t *list),
-                            void *user);
+void gateway_registry_notify(gateway_registry_t *directory,
+                             void (*notify)(void *user, const uint64_t *serial,
+                                            const gateway_peer_list_t *list),
+                             void *user);
 
 #endif
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -21,7 +21,7 @@
 #include "core/turns/record_clock.h"
 #include "core/turns/space_reservations.h"
 #include "net/frame_connection.h"
-#include "store/gateway_directory.h"
+#include "store/gateway_registry.h"
 #include "store/program_affinity.h"
 #include "store/record_log.h"
 
@@ -46,7 +46,7 @@
     frame_listener_t *listener;
     GHashTable *connections;       /**< Inbound; maps serial number to frame_connection_t. */
     uv_timer_t gateway_list_timer; /**< Active while changed gateway lists are to be sent. */
-    gateway_directory_t gateways;
+    gateway_registry_t gateways;
     store_group_t *group;  /**< Latest known group; generation 0 if none. */
     bool group_durable;    /**< The state file on disk holds this group. */
     bool founding;         /**< On this disk since the system's first start: may found a group. */
--- a/src/store/store_catch_up.c
+++ b/src/store/store_catch_up.c
@@ -330,7 +330,7 @@
     request_page(copy);
 }
 
-static void start_copies(store_catch_up_state_t *catch_up, const store_catch_up_t *plan) {
+static void start_copies(store_catch_up_state_t *catch_up, const store_catch_up_plan_t *plan) {
     const store_t *store = catch_up->store;
     clear_copies(catch_up);
     catch_up->generation = store->group->generation;
@@ -397,7 +397,7 @@
         uv_timer_start(&catch_up->timer, on_timer, POLL_INTERVAL_MS, POLL_INTERVAL_MS);
         return;
     }
-    store_catch_up_t plan =
+    store_catch_up_plan_t plan =
         store_group_catch_up(store->group, store->settings->name, store->complete_generation);
     bool disk_was_empty = plan.sources == store->group->members;
     if (disk_was_empty && uv_now(store->loop) < store->started_at + EMPTY_DISK_WAIT_MS)
--- a/src/store/store_directory.c
+++ b/src/store/store_directory.c
@@ -94,7 +94,7 @@
     }
 }
 
-void store_directory_codec(codec_t *codec, store_directory_t *directory) {
+void store_directory_state_codec(codec_t *codec, store_directory_t *directory) {
     uint32_t count = g_hash_table_size(directory->gateways);
     codec_uint64(codec, &directory->revision);
     codec_bytes(codec, &directory->snapshot);
@@ -133,8 +133,8 @@
     message_clear(&request);
 }
 
-void store_directory_offered(store_directory_t *directory, const frame_connection_t *connection,
-                             uint64_t revision) {
+void store_directory_handle_offer(store_directory_t *directory,
+                                  const frame_connection_t *connection, uint64_t revision) {
     bool offerer_disconnected =
         !g_hash_table_contains(directory->store->connections, &directory->offered_by);
     bool timed_out = directory->offer.requested_at > 0 &&
@@ -146,7 +146,7 @@
     request_offered_directory(directory);
 }
 
-void store_directory_take(store_directory_t *directory, const message_t *message) {
+void store_directory_store_snapshot(store_directory_t *directory, const message_t *message) {
     directory->offer.requested_at = 0;
     bool empty = message->directory == NULL || g_bytes_get_size(message->directory) == 0;
     if (empty || message->revision <= directory->revision)
@@ -246,7 +246,7 @@
 /** Updates one gateway while @p disconnected are not connected; true if it is to be removed. */
 static bool check_gateway(known_gateway_t *gateway, unsigned disconnected) {
     const store_directory_t *directory = gateway->directory;
-    if (gateway_directory_has(&directory->store->gateways, gateway->address)) {
+    if (gateway_registry_contains(&directory->store->gateways, gateway->address)) {
         gateway->disconnected_at = 0;
         close_announcement(gateway);
         return false;
@@ -295,7 +295,7 @@
     write_if_changed(directory);
 }
 
-void store_directory_gateway_seen(store_directory_t *directory, const char *address) {
+void store_directory_gateway_connected(store_directory_t *directory, const char *address) {
     known_gateway_t *gateway = obtain_gateway(directory, address);
     if (gateway != NULL)
         gateway->disconnected_at = 0;
--- a/src/store/store_directory.h
+++ b/src/store/store_directory.h
@@ -17,20 +17,20 @@
 #include "store/store.h"
 
 /** Encodes or decodes the part of the state file that belongs to the directory. */
-void store_directory_codec(codec_t *codec, store_directory_t *directory);
+void store_directory_state_codec(codec_t *codec, store_directory_t *directory);
 store_directory_t *store_directory_new(store_t *store);
 /**
  * Handles the announcement that the gateway of @p connection holds the directory at @p revision. A
  * newer one is requested from one gateway at a time (core/configuration/directory_pacing.h).
  */
-void store_directory_offered(store_directory_t *directory, const frame_connection_t *connection,
-                             uint64_t revision);
+void store_directory_handle_offer(store_directory_t *directory,
+                                  const frame_connection_t *connection, uint64_t revision);
 /** Stores a gateway's snapshot if it is newer than the current one. */
-void store_directory_take(store_directory_t *directory, const message_t *message);
+void store_directory_store_snapshot(store_directory_t *directory, const message_t *message);
 /** Sends the snapshot; does nothing if there is none or too many bytes are queued already. */
 void store_directory_send(store_directory_t *directory, frame_connection_t *connection);
 /** Records that the gateway at @p address ("IP:PORT") has connected. */
-void store_directory_gateway_seen(store_directory_t *directory, const char *address);
+void store_directory_gateway_connected(store_directory_t *directory, const char *address);
 /** Starts announcing this node to gateways that are not connected. */
 void store_directory_start(store_directory_t *directory);
 
--- a/src/store/store_metrics.c
+++ b/src/store/store_metrics.c
@@ -17,7 +17,7 @@
     metrics_append(text, "store_log_bytes", record_log_bytes(store->log));
     metrics_append(text, "store_connections", g_hash_table_size(store->connections));
     metrics_append(text, "store_connection_buffer_bytes", store_connections_buffer_bytes(store));
-    metrics_append(text, "store_gateways", gateway_directory_count(&store->gateways));
+    metrics_append(text, "store_gateways", gateway_registry_count(&store->gateways));
     metrics_append(text, "store_writes_failed_total", store->writes_failed);
     metrics_append(text, "store_no_room_total", store->turns_refused_for_space);
     metrics_append(text, "store_taken_beyond_share_total", store->turns_accepted_over_limit);
--- a/src/store/store_requests.c
+++ b/src/store/store_requests.c
@@ -26,7 +26,7 @@
     ADMISSION_LOG_PERIOD_MS = 1000,
     /**
      * Batches changes of gateway lists: each change costs a message to every gateway of a cell
-     * (gateway_directory.h).
+     * (gateway_registry.h).
      */
     GATEWAY_LIST_DELAY_MS = 100,
     GATEWAYS_PER_DELAY_MS = 2, /**< Number of gateways that add 1 ms to the delay. */
@@ -393,16 +393,16 @@
 
 typedef struct {
     const store_t *store;
-    GHashTable *encoded; /**< Maps gateway_list_t to its encoded message, a GBytes. */
+    GHashTable *encoded; /**< Maps gateway_peer_list_t to its encoded message, a GBytes. */
 } gateway_lists_t;
 
-static GBytes *encode_list(const gateway_list_t *list) {
+static GBytes *encode_list(const gateway_peer_list_t *list) {
     message_t message;
     message_init(&message, MESSAGE_GATEWAYS);
     for (guint i = 0; i < list->known->len; i++)
         g_ptr_array_add(message.ids, g_strdup(g_ptr_array_index(list->known, i)));
-    for (guint i = 0; i < list->far->len; i++)
-        g_ptr_array_add(message.ids, g_strdup(g_ptr_array_index(list->far, i)));
+    for (guint i = 0; i < list->remote->len; i++)
+        g_ptr_array_add(message.ids, g_strdup(g_ptr_array_index(list->remote, i)));
     for (guint i = 0; i < list->sources->len; i++)
         g_ptr_array_add(message.sources, g_strdup(g_ptr_array_index(list->sources, i)));
     GBytes *bytes = message_encode(&message);
@@ -410,7 +410,7 @@
     return bytes;
 }
 
-static void send_gateway_list(void *user, const uint64_t *serial, const gateway_list_t *list) {
+static void send_gateway_list(void *user, const uint64_t *serial, const gateway_peer_list_t *list) {
     const gateway_lists_t *lists = user;
     GBytes *encoded = g_hash_table_lookup(lists->encoded, list);
     if (encoded == NULL) {
@@ -425,13 +425,13 @@
     store_t *store = timer->data;
     gateway_lists_t lists = {
         store, g_hash_table_new_full(NULL, NULL, NULL, (GDestroyNotify)g_bytes_unref)};
-    gateway_directory_tell(&store->gateways, send_gateway_list, &lists);
+    gateway_registry_notify(&store->gateways, send_gateway_list, &lists);
     g_hash_table_destroy(lists.encoded);
 }
 
 static void schedule_gateway_lists(store_t *store) {
     uint64_t delay_ms =
-        GATEWAY_LIST_DELAY_MS + gateway_directory_count(&store->gateways) / GATEWAYS_PER_DELAY_MS;
+        GATEWAY_LIST_DELAY_MS + gateway_registry_count(&store->gateways) / GATEWAYS_PER_DELAY_MS;
     if (!uv_is_active((const uv_handle_t *)&store->gateway_list_timer))
         uv_timer_start(&store->gateway_list_timer, on_gateway_list_timer,
                        MIN(delay_ms, (uint64_t)GATEWAY_LIST_DELAY_MAX_MS), 0);
@@ -441,14 +441,14 @@
                            const message_t *message) {
     if (message->ids->len != 2)
         return;
-    gateway_directory_add(&store->gateways, frame_connection_serial(connection),
-                          g_ptr_array_index(message->ids, 0), g_ptr_array_index(message->ids, 1));
-    store_directory_gateway_seen(store->directory, g_ptr_array_index(message->ids, 0));
+    gateway_registry_add(&store->gateways, frame_connection_serial(connection),
+                         g_ptr_array_index(message->ids, 0), g_ptr_array_index(message->ids, 1));
+    store_directory_gateway_connected(store->directory, g_ptr_array_index(message->ids, 0));
     schedule_gateway_lists(store);
 }
 
 void store_requests_init(store_t *store) {
-    gateway_directory_init(&store->gateways);
+    gateway_registry_init(&store->gateways);
     uv_timer_init(store->loop, &store->gateway_list_timer);
     store->gateway_list_timer.data = store;
 }
@@ -486,10 +486,10 @@
                                 now(store));
         break;
     case MESSAGE_DIRECTORY:
-        store_directory_take(store->directory, &request);
+        store_directory_store_snapshot(store->directory, &request);
         break;
     case MESSAGE_DIRECTORY_KNOWN:
-        store_directory_offered(store->directory, connection, request.revision);
+        store_directory_handle_offer(store->directory, connection, request.revision);
         break;
     case REQUEST_DIRECTORY:
         store_directory_send(store->directory, connection);
@@ -524,7 +524,7 @@
     store_t *store = owner;
     const uint64_t *serial = frame_connection_serial(connection);
     g_hash_table_remove(store->connections, serial);
-    if (gateway_directory_remove(&store->gateways, serial))
+    if (gateway_registry_remove(&store->gateways, serial))
         schedule_gateway_lists(store);
 }
 
--- a/src/store/store_state.c
+++ b/src/store/store_state.c
@@ -16,7 +16,7 @@
     /* State files of earlier versions end here, without the directory. */
     bool ends = codec->decoding && codec->position == codec->length;
     if (!ends)
-        store_directory_codec(codec, store->directory);
+        store_directory_state_codec(codec, store->directory);
 }
 
 typedef struct {
--- a/tests/unit/control_traffic_test.cc
+++ b/tests/unit/control_traffic_test.cc
@@ -24,7 +24,7 @@
 #include "core/quorum/store_group_choice.h"
 #include "gateway/backend_speeds.h"
 #include "gateway/load_report.h"
-#include "store/gateway_directory.h"
+#include "store/gateway_registry.h"
 }
 
 namespace {
@@ -66,7 +66,7 @@
 class Model {
   public:
     Model() {
-        gateway_directory_init(&directory);
+        gateway_registry_init(&directory);
         directory_snapshot_init(&snapshot);
         for (unsigned i = 0; i < backends; i++)
             add_backend(i);
@@ -74,7 +74,7 @@
     Model(const Model &) = delete;
     Model &operator=(const Model &) = delete;
     ~Model() {
-        gateway_directory_clear(&directory);
+        gateway_registry_clear(&directory);
         directory_snapshot_clear(&snapshot);
     }
     Fleet measure(unsigned gateways, unsigned zones) {
@@ -101,7 +101,7 @@
         std::vector<std::string> known;
         std::vector<std::string> sources;
     };
-    gateway_directory_t directory;
+    gateway_registry_t directory;
     directory_snapshot_t snapshot;
     std::vector<std::unique_ptr<uint64_t>> serials;
     std::map<uint64_t, List> lists;
@@ -131,10 +131,10 @@
                               std::to_string(number / 200) + "." + std::to_string(number % 200) +
                               ":7000";
         addresses[*serials.back()] = address;
-        gateway_directory_add(&directory, serials.back().get(), address.c_str(),
-                              ("zone-" + std::to_string(number % zones)).c_str());
+        gateway_registry_add(&directory, serials.back().get(), address.c_str(),
+                             ("zone-" + std::to_string(number % zones)).c_str());
     }
-    static void on_list(void *user, const uint64_t *serial, const gateway_list_t *list) {
+    static void on_list(void *user, const uint64_t *serial, const gateway_peer_list_t *list) {
         auto *model = static_cast<Model *>(user);
         List &to = model->lists[*serial];
         message_t message;
@@ -155,7 +155,7 @@
     size_t send_lists() {
         sent_bytes = 0;
         lists.clear();
-        gateway_directory_tell(&directory, on_list, this);
+        gateway_registry_notify(&directory, on_list, this);
         return sent_bytes;
     }
     /** Cells other than the root, identified by their first gateway, grouped by common source. */
@@ -263,7 +263,7 @@
         figures.state_bytes = view;
         size_t max_bytes = 0;
         for (unsigned i = 0; i < 20 && i < serials.size(); i++) {
-            gateway_directory_remove(&directory, serials[serials.size() - 1 - i].get());
+            gateway_registry_remove(&directory, serials[serials.size() - 1 - i].get());
             max_bytes = std::max(max_bytes, send_lists());
         }
         figures.loss_bytes = max_bytes;
@@ -293,8 +293,8 @@
                fleet.gateway.change_bytes, static_cast<double>(fleet.store.start_bytes) / 1e6,
                fleet.store.loss_bytes);
     for (const auto &[gateways, fleet] : fleets) {
-        EXPECT_LE(fleet.known, 2U * GATEWAYS_CELL_MOST) << gateways;
-        EXPECT_LE(fleet.followers, GATEWAYS_CELL_MOST) << gateways;
+        EXPECT_LE(fleet.known, 2U * GATEWAYS_CELL_MEAN_MAX) << gateways;
+        EXPECT_LE(fleet.followers, GATEWAYS_CELL_MEAN_MAX) << gateways;
         EXPECT_LE(fleet.watching, 16U * WATCH_RENEWING) << "three per zone, whatever its size";
         EXPECT_LE(fleet.gateway.steady_bytes, 14000) << "share of a node for control traffic, B/s";
         EXPECT_LE(load_report_period_ms(static_cast<unsigned>(fleet.known), true), 1200U)
--- a/tests/unit/gateway_directory_test.cc
+++ b/tests/unit/gateway_registry_test.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 extern "C" {
-#include "store/gateway_directory.h"
+#include "store/gateway_registry.h"
 }
 
 namespace {
@@ -18,17 +18,17 @@
 struct SentList {
     std::set<std::string> known;
     std::vector<std::string> sources;
-    std::set<std::string> far;
+    std::set<std::string> remote;
     unsigned count = 0;
 };
 
 class GatewayDirectory : public testing::Test {
   protected:
     GatewayDirectory() {
-        gateway_directory_init(&directory);
+        gateway_registry_init(&directory);
     }
     ~GatewayDirectory() override {
-        gateway_directory_clear(&directory);
+        gateway_registry_clear(&directory);
     }
     static std::string address(unsigned number) {
         return "10.0." + std::to_string(number / 200) + "." + std::to_string(number % 200) + ":1";
@@ -36,46 +36,46 @@
     void add(unsigned count, const std::vector<std::string> &zones) {
         for (unsigned i = 0; i < count; i++) {
             serials.push_back(std::make_unique<uint64_t>(serials.size() + 1));
-            gateway_directory_add(&directory, serials.back().get(),
-                                  address(static_cast<unsigned>(*serials.back())).c_str(),
-                                  zones[i % zones.size()].c_str());
+            gateway_registry_add(&directory, serials.back().get(),
+                                 address(static_cast<unsigned>(*serials.back())).c_str(),
+                                 zones[i % zones.size()].c_str());
         }
     }
     /** Sends all lists that have changed; returns the total number of addresses in them. */
     size_t notify() {
         addresses_sent = 0;
-        gateway_directory_tell(&directory, on_list, this);
+        gateway_registry_notify(&directory, on_list, this);
         return addresses_sent;
     }
-    static void on_list(void *user, const uint64_t *serial, const gateway_list_t *list) {
+    static void on_list(void *user, const uint64_t *serial, const gateway_peer_list_t *list) {
         auto *test = static_cast<GatewayDirectory *>(user);
         SentList &sent = test->sent_lists[*serial];
         sent.count++;
         sent.known.clear();
         sent.sources.clear();
-        sent.far.clear();
+        sent.remote.clear();
         for (guint i = 0; i < list->known->len; i++)
             sent.known.insert(static_cast<char *>(g_ptr_array_index(list->known, i)));
         for (guint i = 0; i < list->sources->len; i++)
             sent.sources.emplace_back(static_cast<char *>(g_ptr_array_index(list->sources, i)));
-        for (guint i = 0; i < list->far->len; i++)
-            sent.far.insert(static_cast<char *>(g_ptr_array_index(list->far, i)));
+        for (guint i = 0; i < list->remote->len; i++)
+            sent.remote.insert(static_cast<char *>(g_ptr_array_index(list->remote, i)));
         test->addresses_sent += list->known->len + list->sources->len;
     }
-    gateway_directory_t directory;
+    gateway_registry_t directory;
     std::vector<std::unique_ptr<uint64_t>> serials;
     std::map<uint64_t, SentList> sent_lists;
     size_t addresses_sent = 0;
 };
 
 TEST_F(GatewayDirectory, FewGatewaysFormAFullMesh) {
-    add(GATEWAYS_FEW, {"a", "b"});
+    add(GATEWAYS_FULL_MESH_MAX, {"a", "b"});
     notify();
     for (const auto &[serial, list] : sent_lists) {
-        EXPECT_EQ(list.known.size(), size_t{GATEWAYS_FEW});
+        EXPECT_EQ(list.known.size(), size_t{GATEWAYS_FULL_MESH_MAX});
         EXPECT_TRUE(list.sources.empty());
     }
-    EXPECT_EQ(sent_lists.size(), size_t{GATEWAYS_FEW});
+    EXPECT_EQ(sent_lists.size(), size_t{GATEWAYS_FULL_MESH_MAX});
 }
 
 TEST_F(GatewayDirectory, GatewaysOfALargeFleetKnowTheirZone) {
@@ -93,25 +93,25 @@
     add(60, {"a", "b", "c"});
     notify();
     for (const auto &[serial, list] : sent_lists) {
-        EXPECT_EQ(list.far.size(), 40U);
-        EXPECT_EQ(list.far.count("@a " + address(1)), serial % 3 == 1 ? 0U : 1U);
+        EXPECT_EQ(list.remote.size(), 40U);
+        EXPECT_EQ(list.remote.count("@a " + address(1)), serial % 3 == 1 ? 0U : 1U);
     }
     unsigned count = sent_lists[1].count;
     add(1, {"c"});
     notify();
     EXPECT_EQ(sent_lists[1].count, count + 1) << "a gateway was added in another zone";
-    add(GATEWAYS_FAR_MOST, {"a", "b", "c"});
+    add(GATEWAYS_REMOTE_MAX, {"a", "b", "c"});
     notify();
     for (const auto &[serial, list] : sent_lists)
-        EXPECT_TRUE(list.far.empty());
+        EXPECT_TRUE(list.remote.empty());
 }
 
 TEST_F(GatewayDirectory, ZonesWithSeveralCellsAreNotListedRemotely) {
-    add(GATEWAYS_CELL_MOST + 10, {"a"});
+    add(GATEWAYS_CELL_MEAN_MAX + 10, {"a"});
     add(20, {"b", "c"});
     notify();
     for (const auto &[serial, list] : sent_lists)
-        EXPECT_EQ(list.far.size(), serial <= GATEWAYS_CELL_MOST + 10 ? 0U : 10U)
+        EXPECT_EQ(list.remote.size(), serial <= GATEWAYS_CELL_MEAN_MAX + 10 ? 0U : 10U)
             << "gateways of different zones must know each other";
 }
 
@@ -119,17 +119,17 @@
 // consider the watch state of a gateway stale.
 TEST_F(GatewayDirectory, ListsDoNotGrowWithTheFleet) {
     for (unsigned gateways : {30U, 100U, 300U, 865U, 3300U, 6600U}) {
-        gateway_directory_clear(&directory);
-        gateway_directory_init(&directory);
+        gateway_registry_clear(&directory);
+        gateway_registry_init(&directory);
         sent_lists.clear();
         serials.clear();
         add(gateways, {"a", "b", "c", "d", "e", "f"});
         notify();
         ASSERT_EQ(sent_lists.size(), gateways);
         for (const auto &[serial, list] : sent_lists) {
-            EXPECT_LE(list.known.size(), size_t{2 * GATEWAYS_CELL_MOST}) << gateways;
+            EXPECT_LE(list.known.size(), size_t{2 * GATEWAYS_CELL_MEAN_MAX}) << gateways;
             EXPECT_TRUE(list.known.count(address(static_cast<unsigned>(serial))) > 0);
-            EXPECT_LE(list.sources.size(), size_t{GATEWAYS_SOURCES});
+            EXPECT_LE(list.sources.size(), size_t{GATEWAYS_SOURCES_MAX});
         }
     }
 }
@@ -146,7 +146,7 @@
             EXPECT_EQ(list.known.count(source), 0U) << "sources belong to another cell";
     }
     EXPECT_GT(roots, 10U);
-    EXPECT_LT(roots, 2U * GATEWAYS_CELL_MOST);
+    EXPECT_LT(roots, 2U * GATEWAYS_CELL_MEAN_MAX);
 }
 
 TEST_F(GatewayDirectory, SourcesAreTheFirstOfTheRootCellByAddress) {
@@ -156,7 +156,7 @@
     for (unsigned number = 1; number <= 400; number++)
         if (sent_lists.at(number).sources.empty())
             roots.push_back(address(number));
-    roots.resize(GATEWAYS_SOURCES);
+    roots.resize(GATEWAYS_SOURCES_MAX);
     for (const auto &[serial, list] : sent_lists) {
         if (!list.sources.empty()) {
             EXPECT_EQ(list.sources, roots);
@@ -171,10 +171,10 @@
     EXPECT_EQ(notify(), 0U) << "nothing has changed";
     size_t max_addresses = 0;
     for (unsigned i = 2000; i < 2030; i++) {
-        ASSERT_TRUE(gateway_directory_remove(&directory, serials[i].get()));
+        ASSERT_TRUE(gateway_registry_remove(&directory, serials[i].get()));
         max_addresses = std::max(max_addresses, notify());
     }
-    EXPECT_LE(max_addresses, size_t{4 * GATEWAYS_CELL_MOST * GATEWAYS_CELL_MOST});
+    EXPECT_LE(max_addresses, size_t{4 * GATEWAYS_CELL_MEAN_MAX * GATEWAYS_CELL_MEAN_MAX});
 }
 
 TEST_F(GatewayDirectory, EmptyCellIsNotTheRoot) {
@@ -187,32 +187,32 @@
             roots.push_back(serial);
     ASSERT_LT(roots.size(), 50U) << "two cells must remain without them";
     for (uint64_t serial : roots)
-        gateway_directory_remove(&directory, serials[serial - 1].get());
+        gateway_registry_remove(&directory, serials[serial - 1].get());
     add(static_cast<unsigned>(roots.size()), {"b"});
     notify();
     for (const auto &[serial, list] : sent_lists)
         for (const std::string &source : list.sources)
-            EXPECT_TRUE(gateway_directory_has(&directory, source.c_str()));
+            EXPECT_TRUE(gateway_registry_contains(&directory, source.c_str()));
 }
 
 TEST_F(GatewayDirectory, RemovedGatewayIsNotListed) {
     add(3, {"a"});
-    EXPECT_TRUE(gateway_directory_remove(&directory, serials[0].get()));
-    EXPECT_FALSE(gateway_directory_remove(&directory, serials[0].get()));
+    EXPECT_TRUE(gateway_registry_remove(&directory, serials[0].get()));
+    EXPECT_FALSE(gateway_registry_remove(&directory, serials[0].get()));
     notify();
     EXPECT_EQ(sent_lists.at(2).known.size(), 2U);
-    EXPECT_EQ(gateway_directory_count(&directory), 2U);
+    EXPECT_EQ(gateway_registry_count(&directory), 2U);
 }
 
 TEST_F(GatewayDirectory, GatewayStaysConnectedUntilItsLastConnectionEnds) {
     uint64_t first = 1;
     uint64_t second = 2;
-    gateway_directory_add(&directory, &first, "10.0.0.9:1", "a");
-    gateway_directory_add(&directory, &second, "10.0.0.9:1", "a");
-    gateway_directory_remove(&directory, &first);
-    EXPECT_TRUE(gateway_directory_has(&directory, "10.0.0.9:1"));
-    gateway_directory_remove(&directory, &second);
-    EXPECT_FALSE(gateway_directory_has(&directory, "10.0.0.9:1"));
+    gateway_registry_add(&directory, &first, "10.0.0.9:1", "a");
+    gateway_registry_add(&directory, &second, "10.0.0.9:1", "a");
+    gateway_registry_remove(&directory, &first);
+    EXPECT_TRUE(gateway_registry_contains(&directory, "10.0.0.9:1"));
+    gateway_registry_remove(&directory, &second);
+    EXPECT_FALSE(gateway_registry_contains(&directory, "10.0.0.9:1"));
 }
 
 } // namespace
--- a/tests/unit/turns_test.cc
+++ b/tests/unit/turns_test.cc
@@ -301,7 +301,7 @@
     store_group_add(next->members, "a", "127.0.0.1:1", "z");
     store_group_add(next->members, "b", "127.0.0.1:1", "z");
     store_group_add(next->members, "e", "127.0.0.1:1", "z");
-    store_catch_up_t kept = store_group_catch_up(next, "a", 1);
+    store_catch_up_plan_t kept = store_group_catch_up(next, "a", 1);
     EXPECT_EQ(kept.sources, next->previous);
     EXPECT_EQ(kept.needed, 1u); // The read quorum is 2, itself included.
     EXPECT_EQ(kept.min_source_generation, 1u);
@@ -311,7 +311,7 @@
 
 TEST(StoreGroup, AMemberWithAnEmptyDiskCopiesFromItsOwnGeneration) {
     store_group_t *group = make_group({"a", "b", "c"});
-    store_catch_up_t empty = store_group_catch_up(group, "a", 0);
+    store_catch_up_plan_t empty = store_group_catch_up(group, "a", 0);
     EXPECT_EQ(empty.sources, group->members);
     EXPECT_EQ(empty.needed, 2u); // Its records may be on only one other member.
     EXPECT_EQ(empty.min_source_generation, 1u);
--- a/tests/unit/zone_loads_test.cc
+++ b/tests/unit/zone_loads_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 extern "C" {
-#include "cluster/far_gateway.h"
+#include "cluster/remote_gateway.h"
 #include "gateway/load_report.h"
 #include "gateway/zone_loads.h"
 }
@@ -36,22 +36,22 @@
             std::string name = "z-" + std::to_string(other);
             g_ptr_array_add(texts, other == zone
                                        ? g_strdup(address.c_str())
-                                       : far_gateway_format(name.c_str(), address.c_str()));
+                                       : remote_gateway_format(name.c_str(), address.c_str()));
         }
     return texts;
 }
 
 TEST(RemoteGateway, TextIsParsedBackAndIsNoSocketAddress) {
-    char *text = far_gateway_format("north a", "10.1.2.3:77");
+    char *text = remote_gateway_format("north a", "10.1.2.3:77");
     char *zone = nullptr;
     struct sockaddr_in address;
     EXPECT_FALSE(parse_socket_address(text, &address));
-    ASSERT_TRUE(far_gateway_parse(text, &zone, &address));
+    ASSERT_TRUE(remote_gateway_parse(text, &zone, &address));
     EXPECT_STREQ(zone, "north a");
     EXPECT_EQ(address.sin_port, htons(77));
-    EXPECT_FALSE(far_gateway_parse("10.1.2.3:77", &zone, &address));
-    EXPECT_FALSE(far_gateway_parse("@north", &zone, &address));
-    EXPECT_FALSE(far_gateway_parse("@north 10.1.2.3", &zone, &address));
+    EXPECT_FALSE(remote_gateway_parse("10.1.2.3:77", &zone, &address));
+    EXPECT_FALSE(remote_gateway_parse("@north", &zone, &address));
+    EXPECT_FALSE(remote_gateway_parse("@north 10.1.2.3", &zone, &address));
     g_free(zone);
     g_free(text);
 }
