--- a/src/gateway/backend_speeds.h
+++ b/src/gateway/backend_speeds.h
@@ -42,7 +42,7 @@
 void backend_speeds_record_answer(backend_t *backend, const char *route, uint64_t sent_at);
 /** A stream whose call was sent at @p sent_at generated events, one per @p event_us on average. */
 void backend_speeds_record_stream(backend_t *backend, uint32_t event_us, uint64_t sent_at);
-/** Appends the load_entry_t to send now to each of the @p gateways others. */
+/** Appends the entries, of load_entry_t, to be sent now to each of @p gateways other gateways. */
 void backend_speeds_append_report(backends_t *backends, GArray *entries, unsigned gateways);
 /** Records an entry of the gateway @p sender; false if no back end has its incarnation id. */
 bool backend_speeds_record_report(backends_t *backends, const load_entry_t *entry, uint64_t sender);
--- a/src/gateway/backends.c
+++ b/src/gateway/backends.c
@@ -36,7 +36,7 @@
     return members;
 }
 
-/** The counter of back ends with or without a start time for this record; NULL: it is leaving. */
+/** The counter that includes a back end with this record; NULL: none, since it is leaving. */
 static unsigned *start_time_counter(service_members_t *members, const backend_record_t *record) {
     if (record->leaving)
         return NULL;
--- a/src/gateway/backends.h
+++ b/src/gateway/backends.h
@@ -28,12 +28,12 @@
     engine_baseline_t baseline;  /**< Running baseline of its turns; see engine_load.h. */
     unsigned with_start_time;    /**< Back ends that report a start time, except leaving ones. */
     unsigned without_start_time; /**< Back ends that report none, except leaving ones. */
-    uint64_t sample_counter; /**< Input of the random bits of a placement; incremented by each. */
+    uint64_t sample_counter;     /**< Seeds the random bits; incremented by each placement. */
 } service_members_t;
 
 typedef struct {
     backend_record_t *record;
-    GPtrArray *list; /**< List of service_members_t that contains it; NULL: removed. */
+    GPtrArray *list; /**< The list in service_members_t that contains it; NULL: removed. */
     guint list_index;
     bool local;      /**< In the gateway's zone. */
     gint references; /**< Of the table, and of the calls at this back end. */
@@ -69,8 +69,7 @@
     GHashTable *by_service;  /**< Name to service_members_t. */
     GHashTable *expired;   /**< Set of backend_t in the grace period after their entries expired. */
     GHashTable *to_report; /**< Set of backend_t that may have to be reported to other gateways. */
-    GHashTable
-        *reported_by_peers; /**< Set of backend_t with a report of other gateways in force. */
+    GHashTable *reported_by_peers; /**< Set of backend_t that other gateways report now. */
     struct backend_speeds *speeds;
     uint64_t seed; /**< Differs by gateway; see core/routing/service_choice.h. */
     uint64_t connections_opened;
--- a/src/gateway/call_retry.c
+++ b/src/gateway/call_retry.c
@@ -14,7 +14,7 @@
 
 enum {
     MAX_CONNECT_FAILURES = 4,
-    MAX_REPEAT_CONNECT_FAILURES = 2, /**< Then the back end is considered ended. */
+    MAX_REPEAT_CONNECT_FAILURES = 2, /**< After these, the back end is considered to have ended. */
     MAX_TIMED_ROUTES = 10000,        /**< Routes with recorded response times. */
     MIN_TIME_LEFT_MS = 5,            /**< Minimum time left for a resend. */
 };
--- a/src/gateway/call_turn.c
+++ b/src/gateway/call_turn.c
@@ -95,7 +95,7 @@
                           parse_max_tokens(call_field(call, FIELD_TOKENS), &call->turn.max_tokens);
 }
 
-/** True if a storage operation can start; while isolation is being checked, it waits for that. */
+/** True if a storage operation can start; during an isolation check it waits for the result. */
 static bool stores_usable(store_client_t *stores) {
     return store_client_connected(stores) || store_client_isolation_suspected(stores);
 }
@@ -131,7 +131,10 @@
 
 static void assemble_prompt(call_t *call);
 
-/** Refuses like for a missing turn, or with 503 while the owner of the key may have changed. */
+/**
+ * Refuses as for a missing turn, or with 503 while the directory may be stale: the caller's key may
+ * belong to another tenant by now.
+ */
 static void refuse_other_tenants_turn(call_t *call) {
     if (gateway_directory_current(call->gateway))
         call_refuse(call, STATUS_NOT_FOUND, CALL_OTHER_TENANT);
--- a/src/gateway/directory_feed.c
+++ b/src/gateway/directory_feed.c
@@ -6,14 +6,14 @@
 
 enum {
     BACKLOG_MAX_BYTES = 4 * 1024 * 1024, /**< A follower with more unsent data is dropped. */
-    HEARTBEAT_MS = 1000,                 /**< Messages without changes carry the age of the view. */
+    HEARTBEAT_MS = 1000, /**< Interval of messages without changes; they carry the view's age. */
 };
 
 typedef struct {
     frame_connection_t *connection;
     uint64_t revision; /**< Revision of its view when it connected. */
     uint64_t view;     /**< Digest of its view at that time. */
-    bool complete;     /**< It has the complete view; nothing else is sent before. */
+    bool complete;     /**< It has the complete view; no changes are sent before that. */
 } follower_t;
 
 struct directory_feed {
@@ -75,7 +75,7 @@
         const follower_t *follower = value;
         if (!follower->complete)
             continue;
-        /* A follower that does not read is dropped; it leaves this source as its view ages. */
+        /* A follower that does not read is dropped; it leaves once its view is stale. */
         if (frame_connection_backlog(follower->connection) > BACKLOG_MAX_BYTES)
             g_hash_table_iter_remove(&iterator);
         else
--- a/src/gateway/directory_feed.h
+++ b/src/gateway/directory_feed.h
@@ -23,15 +23,16 @@
 /** Current state to forward. */
 typedef struct {
     directory_snapshot_t *snapshot;
-    GBytes *group;       /**< Encoded store group; NULL: unknown. */
-    uint64_t revision;   /**< The view is complete up to this revision; 0: it may be incomplete. */
-    bool followable;     /**< False: it follows another gateway of its cell itself. */
-    uint32_t answer_age; /**< As in message_t. */
+    GBytes *group;     /**< Encoded store group; NULL: unknown. */
+    uint64_t revision; /**< The view is complete up to this revision; 0: it may be incomplete. */
+    bool followable;   /**< False: this gateway itself follows another one of its cell. */
+    /** Time since the service confirmed the view, in ms; UINT32_MAX: unknown. */
+    uint32_t answer_age;
 } directory_feed_state_t;
 
 typedef void (*directory_feed_read_t)(void *owner, directory_feed_state_t *state);
 
-/** @p read returns the current state; it is called whenever that is needed. */
+/** @p read fills in the current state; it is called for each message and each new follower. */
 directory_feed_t *directory_feed_new(uv_loop_t *loop, directory_feed_read_t read, void *owner);
 /**
  * Adds a follower that has all changes up to @p revision and a view of digest @p view. Returns
--- a/src/gateway/directory_follow.c
+++ b/src/gateway/directory_follow.c
@@ -127,7 +127,7 @@
     return true;
 }
 
-/** Handles a response without a view; false if this gateway's own has changed meanwhile. */
+/** Handles a response without a view; false if this gateway's own view has changed meanwhile. */
 static bool handle_same_view(directory_follow_t *follow, const message_t *message) {
     if (follow->requested_view == 0 ||
         follow->requested_view != follow->handler->view_digest(follow->owner))
--- a/src/gateway/directory_role.c
+++ b/src/gateway/directory_role.c
@@ -236,7 +236,7 @@
     struct sockaddr_in other;
     uint64_t last_received_at;
     bool below = gateway->sources->len > 0;
-    /* Without the role, it may continue until a gateway of its own cell can be followed. */
+    /* Without the role, it follows the root cell until it can follow a gateway of its own cell. */
     if (follows_root_cell(gateway))
         return rests && load_sharing_find_source(gateway->load_sharing, 0, &other);
     if (below && !rests)
@@ -314,7 +314,7 @@
         directory_follow_end(follow, "source", 0);
     if (wanted && !directory_follow_active(follow))
         begin_to_follow(gateway, rests);
-    /* Suspends the own watch at once; it would otherwise soon be ahead of the source. */
+    /* Suspends its own watch at once; it would otherwise soon be ahead of the source. */
     bool follows = directory_follow_active(follow);
     if (follows && !key_value_watch_rests(gateway->watch))
         key_value_watch_rest(gateway->watch);
@@ -333,7 +333,7 @@
         gateway->offers_directory_since = uv_now(gateway->loop);
 }
 
-/** Updates the watch state from the own watch, or from the root cell gateway that is followed. */
+/** Updates the watch state from this gateway's watch or the followed root cell gateway. */
 static void update_watch_state(gateway_t *gateway) {
     watch_state_t *own = &gateway->watch_state;
     uint64_t now = uv_now(gateway->loop);
--- a/src/gateway/directory_watch.c
+++ b/src/gateway/directory_watch.c
@@ -22,9 +22,10 @@
 
 enum {
     DIRECTORY_CHECK_INTERVAL_MS = 20, /**< Until directory and store group are known. */
-    OFFER_SETTLE_MS = 2000,           /**< Time in the role before offers: peers report first. */
-    OFFER_INTERVAL_MIN_MS = 1000,     /**< Minimum time between two offers to storage nodes. */
-    OFFER_INTERVAL_MAX_MS = 3000,     /**< Maximum time: an earlier recipient may have failed. */
+    OFFER_SETTLE_MS = 2000, /**< Delay of the first offer: a peer's report may end the role. */
+    OFFER_INTERVAL_MIN_MS = 1000, /**< Minimum time between two offers to storage nodes. */
+    /** An unchanged offer is repeated after this, because its recipient may have failed. */
+    OFFER_INTERVAL_MAX_MS = 3000,
     GROUP_WAIT_MS = 25000, /**< Maximum wait of one watch request for the store group's key. */
 };
 
@@ -67,8 +68,10 @@
     return gateway->backends_listed && !key_value_watch_rests(gateway->watch);
 }
 
-/** True if a back end without an entry is still used: the service was unavailable; see
- * entry_expiry.h. */
+/**
+ * True if a back end without an entry is still used, because the service was unavailable; see
+ * entry_expiry.h.
+ */
 static bool keeps_expired(gateway_t *gateway, const char *instance) {
     uint64_t now = uv_now(gateway->loop);
     entry_expiry_evidence_t evidence = {
--- a/src/gateway/engine_load.h
+++ b/src/gateway/engine_load.h
@@ -28,7 +28,10 @@
 /** Active calls of this gateway, and of the others as last reported. */
 unsigned backend_load(const backend_t *backend);
 
-/** Observed state of an engine; @p usual: of its service, @p slots: default if it reports none. */
+/**
+ * Observed state of an engine. @p baseline is that of its service; @p slots is the default for an
+ * engine that reports none.
+ */
 engine_state_t engine_load_state(backend_t *backend, const engine_baseline_t *baseline,
                                  unsigned slots);
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -135,7 +135,7 @@
 void gateway_init_directory(gateway_t *gateway);
 /** Follows configuration, back ends and the store group; see directory_watch.c. */
 void gateway_watch_directory(gateway_t *gateway);
-/** Assigns the watch role among gateways; see directory_role.c. */
+/** Callbacks for watch reports, from which the watch role is assigned; see directory_role.c. */
 extern const load_sharing_handler_t gateway_load_sharing_handler;
 /** Applies an item of the key-value service, from any source. */
 void gateway_apply_item(gateway_t *gateway, const key_value_item_t *item);
@@ -157,9 +157,9 @@
 /** directory_role.c: updates peers and root-cell gateways from a storage node's list. */
 void gateway_update_peers(void *owner, const GPtrArray *addresses, const GPtrArray *sources);
 /**
- * True if the gateway's zone is isolated, or if this gateway reaches no quorum of storage nodes
- * while either other gateways do or the key-value service is unreachable as well: other gateways
- * can then serve.
+ * True if calls should go to other gateways: the zone is isolated; or this gateway reaches no
+ * quorum of storage nodes, and either another gateway reaches storage nodes or this one can't reach
+ * the key-value service either.
  */
 bool gateway_isolated(const gateway_t *gateway);
 /** isolation.c: detects isolation of the zone, if the settings enable it. */
--- a/src/gateway/isolation.c
+++ b/src/gateway/isolation.c
@@ -1,8 +1,8 @@
 /*
  * Handles the isolation of this gateway's zone, besides the refusal of calls that need storage
  * nodes. The gateway at once reports that it is not ready and notifies its peers. Only new
- * connections of callers are redirected to other zones, so once redirection must be in effect,
- * kept-alive connections are closed between two calls: the next call is served elsewhere without
+ * connections of callers are redirected to other zones, so once redirection should be in effect,
+ * kept-alive connections are closed when they are idle: the next call is served elsewhere without
  * being refused.
  */
 #include "gateway/gateway.h"
--- a/src/gateway/load_report.c
+++ b/src/gateway/load_report.c
@@ -6,7 +6,7 @@
     PERIOD_MS = 60,
     PERIOD_EACH_MS = 3, /**< Added for each gateway. */
     CALM_FACTOR = 4,    /**< Multiplies the period while no back end is half full. */
-    SAMPLES_BITS = 8,   /**< Low bits of `ejected_ms` for the number of samples; the rest: age. */
+    SAMPLES_BITS = 8,   /**< Of a speed's `ejected_ms`: low bits: sample count; rest: age. */
     SAMPLES_MAX = 255,
     AGE_MAX_MS = 0xffffff,
 };
--- a/src/gateway/load_report.h
+++ b/src/gateway/load_report.h
@@ -16,9 +16,9 @@
 enum { LOAD_ENTRIES_MAX = 4096 };
 
 /**
- * A back end at which the sender has calls in progress, or that it has ejected; or a speed that it
- * measured (load_entry_from_speed), under an id that is no back end's, so that receivers that don't
- * know the id skip the entry.
+ * A back end at which the sender has calls in progress, or that it has ejected. An entry can also
+ * hold a measured speed (load_entry_from_speed); its id is then that of an incarnation, and a
+ * receiver that does not know the id skips the entry.
  */
 typedef struct {
     uint64_t backend; /**< backend_t.id_hash. */
@@ -32,7 +32,7 @@
  */
 load_entry_t load_entry_from_speed(uint64_t incarnation, const speed_estimate_t *pace,
                                    uint64_t now);
-/** Reads the speed from such an entry. */
+/** Reads the speed from an entry of load_entry_from_speed. */
 speed_estimate_t load_entry_speed(const load_entry_t *entry, uint64_t now);
 /** Encodes the watch report @p watch and @p entries, of load_entry_t. */
 GBytes *load_report_encode(const watch_report_t *watch, GArray *entries);
--- a/src/gateway/load_sharing.c
+++ b/src/gateway/load_sharing.c
@@ -26,9 +26,10 @@
     RELAY_REPORT_EXPIRY_MS = 1500, /**< Maximum age of the last report of a relay. */
     REPORT_EXPIRY_MS = 1000,       /**< The loads of an older report are ignored. */
     INCARNATION_SETTLE_MS = 1000,  /**< Time for a new incarnation to reach all gateways. */
-    SOURCE_PERIODS = 2,         /**< One report may be lost before a source is considered dead. */
-    SUM_INTERVAL_MS = 100,      /**< Sums are recomputed after this, because reports expire. */
-    CHANGE_CHECK_DELAY_MS = 20, /**< Typical delay until a reported change arrives here too. */
+    SOURCE_PERIODS = 2,    /**< One report may be lost before a source is considered dead. */
+    SUM_INTERVAL_MS = 100, /**< Sums are recomputed after this, because reports expire. */
+    /** Delay of a check after a peer's report; a reported change usually arrives here by then. */
+    CHANGE_CHECK_DELAY_MS = 20,
 };
 
 typedef struct {
--- a/src/gateway/load_sharing.h
+++ b/src/gateway/load_sharing.h
@@ -15,15 +15,15 @@
 
 typedef struct load_sharing load_sharing_t;
 
-/** Watch reports, which gateways exchange besides loads; see watch_role.h. */
+/** Callbacks for the watch reports that gateways exchange besides loads; see watch_role.h. */
 typedef struct {
     /** Fills in this gateway's report. */
     void (*fill_report)(void *owner, watch_report_t *report);
     /**
      * Called once a period, and soon after another gateway reported a later change, with the
-     * reports of the others, of watch_report_t. Gateways that renew report within @p
-     * renewing_period_ms. Returns the time in ms until the next call is wanted; UINT64_MAX: a
-     * period.
+     * reports of the others, of watch_report_t. Other gateways check once in @p period_ms whether
+     * their reports are due; those that watch the service, once in @p renewing_period_ms. Returns
+     * the time in ms until the next call is wanted; UINT64_MAX: a period.
      */
     uint64_t (*on_reports)(void *owner, const GArray *reports, uint64_t period_ms,
                            uint64_t renewing_period_ms);
--- a/src/gateway/quota_client.c
+++ b/src/gateway/quota_client.c
@@ -15,7 +15,7 @@
      * work. Members may promise less far ahead, see quota_split_max_advance_ms.
      */
     STARTED_TOKEN_WAIT_MS = 1000,
-    TOKEN_WAIT_DIVISOR = 4, /**< Of a program's call: longest wait is remaining time / this. */
+    TOKEN_WAIT_DIVISOR = 4, /**< With a program, longest token wait: the call's time left / this. */
     /**
      * Exponential backoff of program requests to a member that has never answered one: it may run
      * an earlier version, which drops them, or its response may have been late.
--- a/src/gateway/quota_client.h
+++ b/src/gateway/quota_client.h
@@ -67,7 +67,10 @@
 void quota_request_cancel(quota_request_t *request);
 /** Returns an unused grant for another call of the tenant until it expires. */
 void quota_client_return_grant(quota_client_t *client, const tenant_t *tenant, uint64_t until);
-/** Charges a member one token for a rerun of the tenant's call, which needs no grant. */
+/**
+ * Charges the tenant one token for a further send of an admitted call, without waiting for a grant:
+ * uses up an unused grant, or else tells a member to charge its bucket.
+ */
 void quota_client_charge(quota_client_t *client, const tenant_t *tenant, uint64_t version);
 /** Processes a member's response, including RESPONSE_OLD_GENERATION. */
 void quota_client_handle_response(quota_client_t *client, unsigned member,
--- a/src/gateway/store_client_state.h
+++ b/src/gateway/store_client_state.h
@@ -44,7 +44,7 @@
 
 /**
  * One member's reply to an operation. UNSURE: the member is not complete in the operation's
- * generation, or acts in another one; in durable_replies, it stored the record but is not complete.
+ * generation, or is in another one; in durable_replies, it stored the record but is not complete.
  */
 typedef enum { REPLY_NONE, REPLY_YES, REPLY_NO, REPLY_UNSURE } reply_t;
 
--- a/src/gateway/store_relay.c
+++ b/src/gateway/store_relay.c
@@ -10,8 +10,8 @@
 typedef struct {
     store_relay_t *relay;
     frame_connection_t *gateway; /**< The incoming connection. */
-    frame_connection_t *store;   /**< To the storage node; NULL until it has been named. */
-    bool following;              /**< Follows the directory; not relayed. */
+    frame_connection_t *store;   /**< To the storage node; NULL until a frame names it. */
+    bool following; /**< The other gateway follows the directory here; nothing is relayed. */
 } relay_session_t;
 
 struct store_relay {
--- a/src/gateway/zone_loads.h
+++ b/src/gateway/zone_loads.h
@@ -7,7 +7,7 @@
  * latest one counts.
  *
  * Only back ends that report their start time are included. Sums are sent in the format of
- * load_report.h, to gateways that storage nodes listed as of another zone; earlier versions drop
+ * load_report.h, to gateways that storage nodes listed for another zone; earlier versions drop
  * them as from an unknown sender.
  *
  * Thread safety: everything here belongs to the loop's thread.
@@ -25,8 +25,8 @@
 
 void zone_loads_init(zone_loads_t *loads);
 /**
- * Selects the counterparts from what storage nodes listed, ignoring other entries of @p texts. This
- * gateway is the one at @p index of the @p count of its zone, by address.
+ * Selects the counterparts from what storage nodes listed, ignoring other entries of @p texts. In
+ * the order of addresses, this gateway is at @p index among the @p count gateways of its zone.
  */
 void zone_loads_set_gateways(zone_loads_t *loads, const GPtrArray *texts, unsigned index,
                              unsigned count);
