--- a/src/core/configuration/listing_schedule.c
+++ b/src/core/configuration/listing_schedule.c
@@ -2,7 +2,7 @@
 
 #include "core/configuration/watch_role.h"
 
-/** Confirming a view takes a single call, so that less jitter is needed. */
+/** Confirming a view takes a single call, so less jitter is needed. */
 enum { CONFIRM_JITTER_DIVISOR = 6 };
 
 bool listing_schedule_due(const listing_schedule_t *schedule, uint64_t now) {
--- a/src/store/gateway_registry.h
+++ b/src/store/gateway_registry.h
@@ -1,12 +1,12 @@
 /**
  * @file gateway_registry.h
  * The gateways connected to a storage node, and the peers that each gateway exchanges load reports
- * with. Up to GATEWAYS_FULL_MESH_MAX gateways form a full mesh. Of more, each gateway knows those
- * of its zone and, up to GATEWAYS_REMOTE_MAX in all, those of other zones (see
- * gateway/zone_loads.h). The gateways of a large zone are divided into *cells* by a hash of their
- * address, with at most GATEWAYS_CELL_MEAN_MAX per cell on average, and know those of their cell.
- * This bounds the lists and the load reports of each gateway independently of the size of the
- * fleet.
+ * with. Up to GATEWAYS_FULL_MESH_MAX gateways form a full mesh. In a larger fleet, the gateways of
+ * each zone are divided into *cells* by a hash of their address, with at most
+ * GATEWAYS_CELL_MEAN_MAX per cell on average, and each gateway knows those of its cell. In a fleet
+ * of up to GATEWAYS_REMOTE_MAX gateways, those of zones with a single cell also know those of the
+ * other zones with a single cell (see gateway/zone_loads.h). This bounds the lists and the load
+ * reports of each gateway independently of the size of the fleet.
  *
  * The gateways of the first cell of a zone, its root, watch the key-value service. Those of the
  * other cells follow the first gateways of the root cell, their *sources*.
@@ -14,7 +14,7 @@
  * Each storage node computes the cells from its own connections. The number of cells is a power of
  * two, so that a gateway of the root cell remains in it when the number of cells decreases.
  *
- * Decision code; an object belongs to one thread.
+ * Decision code: no I/O, clock or thread; an object belongs to one thread.
  */
 #ifndef RUDDERWAY_STORE_GATEWAY_REGISTRY_H
 #define RUDDERWAY_STORE_GATEWAY_REGISTRY_H
@@ -27,20 +27,20 @@
     GATEWAYS_FULL_MESH_MAX = 32, /**< Largest full mesh. */
     /**
      * Maximum mean size of a cell. The period of load reports grows with the size of the cell
-     * (gateway/load_report.c). In cells of up to 81 gateways, which hashing with a mean of 48
-     * practically never exceeds, it does not exceed the 1,200 ms after which the watch state of a
-     * peer is considered stale.
+     * (gateway/load_report.c). It must stay within the 1,200 ms after which the watch state of a
+     * peer is considered stale, and does so in cells of up to 81 gateways. With a mean of 48,
+     * hashing practically never produces a larger cell.
      */
     GATEWAYS_CELL_MEAN_MAX = 48,
-    /** Sources of a gateway; several, since the service may be unreachable for some of them. */
+    /** Sources of a gateway. Several, as the key-value service may be unreachable for some. */
     GATEWAYS_SOURCES_MAX = 8,
-    /** Up to this many, gateways of zones with a single cell know those of other such zones. */
+    /** Largest fleet in which gateways know those of other zones. */
     GATEWAYS_REMOTE_MAX = 128,
 };
 
 typedef struct {
-    GHashTable *gateways;  /**< Serial number of a connection to its gateway. */
-    GHashTable *addresses; /**< Address of a gateway to its number of connections. */
+    GHashTable *gateways;  /**< Maps serial number of a connection to its gateway. */
+    GHashTable *addresses; /**< Maps address of a gateway to its number of connections. */
 } gateway_registry_t;
 
 /** Peers of a gateway; the same for all gateways of a cell. */
--- a/src/store/record_log.c
+++ b/src/store/record_log.c
@@ -24,8 +24,7 @@
     RECORD_HEADER_BYTES = 8,
     FILE_MODE = 0600,
     NS_PER_MS = 1000000,
-    /** Writes slower than this are logged; a third of the gateways' GATEWAY_OPERATION_TIMEOUT_MS.
-     */
+    /** Slower writes are logged; a third of the gateways' GATEWAY_OPERATION_TIMEOUT_MS. */
     SLOW_WRITE_MS = 500,
 };
 
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -5,7 +5,7 @@
 
 enum {
     QUOTA_RETENTION_MS = 120000,   /**< Tenants idle for longer are removed. */
-    AFFINITY_RETENTION_MS = 60000, /**< By then engines have evicted an idle prompt. */
+    AFFINITY_RETENTION_MS = 60000, /**< Engines evict an idle program's cached prompt sooner. */
 };
 
 static bool segment_is_unused(void *owner, uint32_t segment) {
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -49,7 +49,7 @@
     gateway_registry_t gateways;
     store_group_t *group;  /**< Latest known group; generation 0 if none. */
     bool group_durable;    /**< The state file on disk holds this group. */
-    bool founding;         /**< On this disk since the system's first start: may found a group. */
+    bool founding;         /**< Disk in use since the system's first start; may found a group. */
     bool identity_durable; /**< The state file is on disk. */
     uint64_t
         complete_generation; /**< Generation whose acknowledged records this node holds; 0: none. */
@@ -77,7 +77,7 @@
 enum {
     /** How long charges are kept after their program's last call. */
     BUDGET_RETENTION_MS = 300000,
-    /** Interval at which expired turns and charges are removed; during a replay, in log time. */
+    /** Interval at which expired records are removed; in a replay, by the log's time marks. */
     STORE_UPKEEP_INTERVAL_MS = 5000,
 };
 
@@ -151,7 +151,7 @@
 
 /* store_metrics.c */
 
-/** Serves metrics if the settings name an address; false if it cannot be listened on. */
+/** Serves metrics if the settings name an address; false if it cannot listen on it. */
 bool store_serve_metrics(store_t *store, metrics_page_t *page);
 
 /* store_membership.c: the group in the key-value service. */
--- a/src/store/store_catch_up.c
+++ b/src/store/store_catch_up.c
@@ -7,9 +7,9 @@
  * several sources is fetched from one of them (core/quorum/fetch_plan.h). The copy from a source
  * is finished once every record in its index is on this node's disk.
  *
- * A node that starts with an empty disk waits for longer than the write timeout of gateways. A
- * write that counted the copy lost with this disk has by then either reached a quorum of the other
- * members or failed.
+ * A node that starts with an empty disk first waits for longer than the write timeout of gateways.
+ * By then each pending write that counted the copy lost with this disk has either succeeded, so
+ * that enough other members hold the record, or failed.
  *
  * Failures. A copy whose source disconnects or times out restarts with a new index. If a record
  * cannot be written to the local disk, all unfinished copies restart.
@@ -27,7 +27,7 @@
         2000, /**< Must exceed GATEWAY_OPERATION_TIMEOUT_MS of gateway/store_client.h. */
     TURNS_PER_REQUEST = 200,
     STEP_TIMEOUT_MS = 3000, /**< A copy restarts if one of its steps takes longer. */
-    PAGE_TIMEOUT_MS = 300,  /**< A source without a response no longer blocks the others. */
+    PAGE_TIMEOUT_MS = 300,  /**< A source that takes longer no longer delays pages of others. */
     WRITE_FAILURE_BACKOFF_MS = 1000,
     FIRST_PAGE = 1,
 };
@@ -62,7 +62,7 @@
     uint64_t generation; /**< Target generation of the copies. */
     uint64_t round;      /**< Incremented when all copies are discarded. */
     GPtrArray *copies;
-    fetch_plan_t *fetch_plan; /**< Assigns turns to sources; NULL without copies. */
+    fetch_plan_t *fetch_plan; /**< Assigns turns to sources; NULL if there are no copies. */
     unsigned pending_writes;  /**< Records of this round being written. */
     bool write_failed;        /**< A write of this round failed. */
     uint64_t pause_until;     /**< No copy starts earlier. */
@@ -212,7 +212,7 @@
     set_step(copy, COPY_PAGE);
 }
 
-/** Marks requested turns that the response does not contain as removed at this source. */
+/** Marks requested turns that are missing from the response as no longer held by this source. */
 static void mark_not_found(copy_t *copy) {
     GHashTableIter iterator;
     gpointer id;
@@ -296,7 +296,10 @@
     message_clear(&request);
 }
 
-/** Once the charges of a page are on disk, requests the next page, or turns after the last. */
+/**
+ * Once the charges of a page are on disk, requests the next page. After the last page, requests
+ * turns.
+ */
 static void finish_page(copy_t *copy) {
     if (copy->pending_writes > 0 || copy->catch_up->write_failed)
         return;
--- a/src/store/store_directory.c
+++ b/src/store/store_directory.c
@@ -40,7 +40,7 @@
     uint64_t revision;
     GBytes *message; /**< Encoded message, shared by all connections; NULL: none. */
     directory_offer_t offer;
-    uint64_t offered_by;  /**< Serial number of the connection that offered it. */
+    uint64_t offered_by;  /**< Serial number of the connection that made the offer. */
     GHashTable *gateways; /**< Address to known_gateway_t. */
     uv_timer_t timer;
     bool changed; /**< The state file is out of date. */
@@ -235,7 +235,9 @@
     return disconnected;
 }
 
-/** Interval of announcements to one of @p disconnected gateways, @p disconnected_ms after it left.
+/**
+ * Interval of announcements to a gateway that disconnected @p disconnected_ms ago, while
+ * @p disconnected gateways in total are not connected.
  */
 static uint64_t announce_interval_ms(uint64_t disconnected_ms, unsigned disconnected) {
     uint64_t interval =
@@ -243,7 +245,7 @@
     return interval + disconnected / ANNOUNCE_CONCURRENCY * (uint64_t)CONNECT_TIMEOUT_MS;
 }
 
-/** Updates one gateway while @p disconnected are not connected; true if it is to be removed. */
+/** Updates one gateway; @p disconnected as above. True if the gateway is to be removed. */
 static bool check_gateway(known_gateway_t *gateway, unsigned disconnected) {
     const store_directory_t *directory = gateway->directory;
     if (gateway_registry_contains(&directory->store->gateways, gateway->address)) {
--- a/src/store/store_index.c
+++ b/src/store/store_index.c
@@ -1,9 +1,9 @@
 /*
  * Design. A member in catch-up sends a digest of the records on its disk
- * (core/digest/record_digest.h) and receives the ids of the turns and the complete charges in the
- * buckets that differ. The index is requested in pages of whole buckets, which bounds the buffers
- * on both sides. Records added to a bucket after its page was sent need no second page: gateways
- * write them to the requesting node as well, since it already is a member.
+ * (core/digest/record_digest.h). For the buckets that differ it receives the ids of the turns, and
+ * the charges themselves. The index is requested in pages of whole buckets, which bounds the
+ * buffers on both sides. Records added to a bucket after its page was sent need no second page:
+ * gateways write them to the requesting node as well, since it already is a member.
  */
 #include "store/store.h"
 
--- a/src/store/store_membership.c
+++ b/src/store/store_membership.c
@@ -3,12 +3,12 @@
  * compare-and-swap on the revision of that key. Each storage node registers its address under a key
  * of its own. A new group is proposed by
  *
- * - a founder, once, at the first start of the system, with as many other founders as a group needs
- *   (core/quorum/store_group_choice.h);
+ * - a founder (a node whose disk has been in use since the first start of the system), once, with
+ *   as many other founders as a group needs (core/quorum/store_group_choice.h);
  * - a spare, to replace a failed member or to restore the target size of the group;
  * - a member that an operator retires: the group without this member, or with a spare in its place.
  *   It reports "completed" once all members of the new group are complete. It remains a member
- *   while the others could not tolerate the loss of a disk.
+ *   as long as the group without it could not tolerate the loss of a disk.
  *
  * Spares are ranked. The first polls the members continuously; the poll interval of the others
  * grows with their rank, which limits traffic and concurrent proposals. If the first spare fails,
@@ -29,8 +29,8 @@
 enum {
     WATCH_WAIT_MS = 25000,
     CHECK_INTERVAL_MS = 300,
-    FOUNDING_DELAY_MS = 2000, /**< After the start; lets all founders register first. */
-    FOUNDING_ALONE_DELAY_MS = 5000,
+    FOUNDING_DELAY_MS = 2000,       /**< After the start; lets all founders register first. */
+    FOUNDING_ALONE_DELAY_MS = 5000, /**< The same with fewer than FOUNDERS_EXPECTED founders. */
     FOUNDERS_EXPECTED = 3,
     MEMBER_RESPONSE_TIMEOUT_MS = 1200, /**< A member unresponsive for longer may be replaced. */
     WRITE_INTERVAL_MIN_MS = 1000,
@@ -59,10 +59,10 @@
     bool retire_running_reported;  /**< The "running" status is stored in the service. */
     bool retire_complete_reported; /**< The "completed" status is stored in the service. */
     bool *reporting;               /**< Flag to set when the pending write succeeds; NULL: none. */
-    GHashTable *peers;             /**< Node name to store_peer_t; cleared on an active member. */
-    GHashTable *retiring_nodes;    /**< Names of all nodes that an operator retires. */
-    bool polling_members;          /**< This spare is polling the members. */
-    uint64_t next_poll_at;         /**< Earliest time of its next poll, ms. */
+    GHashTable *peers; /**< Node name to store_peer_t; empty on a member that is not retiring. */
+    GHashTable *retiring_nodes; /**< Names of all nodes that an operator retires. */
+    bool polling_members;       /**< This spare is polling the members. */
+    uint64_t next_poll_at;      /**< Earliest time of its next poll, ms. */
 };
 
 static const char group_name[] = "group";
@@ -135,7 +135,7 @@
     g_free(name);
 }
 
-/** Writes @p group to the key-value service; takes ownership of it. */
+/** Writes @p group to the key-value service if the group's key is unchanged; takes ownership. */
 static void propose(store_membership_t *membership, store_group_t *group, const char *reason) {
     event_log(STORE_GROUP_PROPOSED, group->generation, group->members->len, reason);
     write_key(membership, key_value_own_key(group_name), store_group_encode(group), false,
@@ -359,7 +359,7 @@
     return MIN((uint64_t)rank * STANDBY_RANK_INTERVAL_MS, STANDBY_INTERVAL_MAX_MS);
 }
 
-/** True if no poll of a member is unanswered. */
+/** True if all members have answered their polls. */
 static bool all_answered(store_membership_t *membership) {
     const GArray *members = membership->store->group->members;
     for (guint i = 0; i < members->len; i++) {
--- a/src/store/store_peer.h
+++ b/src/store/store_peer.h
@@ -18,7 +18,7 @@
     uint64_t unanswered_since;      /**< First poll after the last status, ms; 0: none. */
     uint64_t answered_at;           /**< When the last status was received, ms; 0: never. */
     uint64_t complete_generation;   /**< As of the last status. */
-    /** Receives all valid messages except groups. May be NULL. */
+    /** Receives all valid messages except MESSAGE_GROUP. May be NULL. */
     void (*on_message)(void *owner, message_t *message);
     /** The connection was closed; pending requests are lost. May be NULL. */
     void (*on_lost)(void *owner);
--- a/src/store/store_replay.c
+++ b/src/store/store_replay.c
@@ -4,7 +4,10 @@
  */
 #include "store/store.h"
 
-/** Removes expired records as in normal operation, so that a replay needs no more memory. */
+/**
+ * Advances the expiry clock to @p mark and removes expired records at the same interval as in
+ * normal operation, so that a replay needs no more memory than normal operation does.
+ */
 static void replay_time_mark(store_t *store, uint64_t mark) {
     record_clock_replay(&store->clock, mark);
     if (store_expiry_clock_ms(store) >= store->last_expiry_at + STORE_UPKEEP_INTERVAL_MS)
--- a/src/store/store_space.c
+++ b/src/store/store_space.c
@@ -47,13 +47,13 @@
     return store->settings->disk_megabytes * BYTES_PER_MEGABYTE * percent / PERCENT;
 }
 
-/** True if @p incoming bytes can be added to turns and charges below @p percent of the memory. */
+/** True if turns, charges and @p incoming bytes use less than @p percent of the memory. */
 static bool records_fit(const store_t *store, unsigned percent, uint64_t incoming) {
     uint64_t bytes = store->turns.bytes + budget_table_bytes(&store->budgets) + incoming;
     return bytes < memory_limit(store, percent);
 }
 
-/** True if @p incoming bytes of turns can be added below all limits. */
+/** True if turns stay below all @p limits once @p incoming bytes are added. */
 static bool turns_fit(const store_t *store, const space_limits_t *limits, uint64_t incoming) {
     uint64_t disk = disk_limit(store, limits->disk);
     return store->turns.bytes + incoming < memory_limit(store, limits->turns) &&
