--- a/src/cli/commands.c
+++ b/src/cli/commands.c
@@ -161,7 +161,7 @@
     if (g_strv_length(parts) >= 4) {
         const char *field = strrchr(parts[3], '.');
         char *path = g_strconcat(parts[0], ".", field != NULL ? field + 1 : parts[3], NULL);
-        line = configuration_line_of(text, path);
+        line = configuration_find_line(text, path);
         g_free(path);
     }
     fprintf(stderr, "rudderway: see %s:%d\n", file, line);
--- a/src/core/admission/program_ledger.c
+++ b/src/core/admission/program_ledger.c
@@ -114,7 +114,7 @@
 }
 
 /** Counts for a forecast: those of the kind if sufficient, else the overall counts. */
-static call_counts_t *forecast_counts(program_ledger_t *ledger, call_counts_t *counts) {
+static call_counts_t *counts_for_forecast(program_ledger_t *ledger, call_counts_t *counts) {
     return call_counts_sufficient(counts) ? counts : &ledger->all;
 }
 
@@ -229,7 +229,7 @@
 }
 
 static bool is_endless(program_ledger_t *ledger, const entry_t *entry) {
-    call_counts_t *counts = forecast_counts(ledger, entry->counts);
+    call_counts_t *counts = counts_for_forecast(ledger, entry->counts);
     return call_counts_sufficient(counts) && entry->calls > call_counts_max_calls(counts);
 }
 
@@ -238,7 +238,7 @@
     if (is_endless(ledger, entry))
         return;
     call_forecast_t forecast =
-        call_counts_forecast(forecast_counts(ledger, entry->counts), entry->calls);
+        call_counts_forecast(counts_for_forecast(ledger, entry->counts), entry->calls);
     double idle = exp(-(double)(now - entry->last_call_at) / gap_ms(ledger));
     double alive = forecast.continue_probability * idle /
                    (forecast.continue_probability * idle + 1 - forecast.continue_probability);
@@ -289,13 +289,13 @@
 }
 
 /** Decides whether the capacity suffices for one more program. */
-static program_admission_t evaluate(program_ledger_t *ledger, call_counts_t *counts,
-                                    const program_share_t *share, uint64_t now) {
+static program_admission_t evaluate_admission(program_ledger_t *ledger, call_counts_t *counts,
+                                              const program_share_t *share, uint64_t now) {
     program_admission_t admission = {.active_programs = ledger->active.length};
     double missing = fmax(1 - share->tokens - share->tokens_per_ms * SOON_MS, 0);
     if (call_counts_sufficient(&ledger->all)) {
         const demand_t *demand = compute_demand(ledger, now);
-        call_forecast_t forecast = call_counts_forecast(forecast_counts(ledger, counts), 0);
+        call_forecast_t forecast = call_counts_forecast(counts_for_forecast(ledger, counts), 0);
         demand_t more = with_one_more(ledger, demand, &forecast);
         bool few = share->tokens_per_ms * gap_ms(ledger) < FEW_PROGRAMS;
         if (ledger->active.length > 0)
@@ -322,7 +322,7 @@
     program_admission_t admission = {.admitted = true, .active_programs = ledger->active.length};
     bool endless = entry != NULL && begun && is_endless(ledger, entry);
     if (!begun || endless)
-        admission = evaluate(
+        admission = evaluate_admission(
             ledger, entry == NULL ? obtain_counts(ledger, call->kind) : entry->counts, share, now);
     if (refused && !call->begun && call->late) {
         admission.admitted = false;
--- a/src/core/configuration/configuration.c
+++ b/src/core/configuration/configuration.c
@@ -91,7 +91,7 @@
     return difference == 0;
 }
 
-int configuration_line_of(const char *text, const char *path) {
+int configuration_find_line(const char *text, const char *path) {
     char **keys = g_strsplit(path, ".", -1);
     const char *position = text;
     for (char **key = keys; *key != NULL; key++) {
@@ -211,7 +211,7 @@
         error_set(error, RUDDERWAY_ERROR_EDIT_INVALID, "%s: %s", change->key, detail);
     else
         error_set(error, RUDDERWAY_ERROR_EDIT_INVALID, "%s: line %d: %s", change->key,
-                  configuration_line_of(change->text, path), problem->message);
+                  configuration_find_line(change->text, path), problem->message);
     g_free(path);
     g_error_free(problem);
 }
@@ -302,7 +302,7 @@
                 continue;
             error_set(error, RUDDERWAY_ERROR_EDIT_INVALID,
                       "%s: line %d: parameters.%s: no such template", object->key,
-                      configuration_line_of(object->text, name), name);
+                      configuration_find_line(object->text, name), name);
             return false;
         }
     }
--- a/src/core/configuration/configuration.h
+++ b/src/core/configuration/configuration.h
@@ -101,7 +101,7 @@
 char *configuration_prompt(const template_t *program_template, const json_t *parameters);
 
 /** Line number, from 1, of the key at @p path ("a.b.c") in JSON @p text. */
-int configuration_line_of(const char *text, const char *path);
+int configuration_find_line(const char *text, const char *path);
 
 edit_t *edit_new(const char *id, const char *author, int64_t time_ms);
 void edit_add(edit_t *edit, const char *key, const char *text, uint64_t base_revision);
--- a/src/core/isolation/zone_isolation.c
+++ b/src/core/isolation/zone_isolation.c
@@ -7,7 +7,7 @@
     return received;
 }
 
-static uint64_t time_before(uint64_t now, uint64_t ms) {
+static uint64_t subtract_clamped(uint64_t now, uint64_t ms) {
     return now > ms ? now - ms : 0;
 }
 
@@ -63,7 +63,7 @@
 static zone_isolation_step_t check_recovery(zone_isolation_t *isolation,
                                             const zone_member_t *members, unsigned count,
                                             unsigned quorum, uint64_t now) {
-    uint64_t recent = time_before(now, ZONE_PROBE_INTERVAL_MS + 2 * ZONE_CHECK_INTERVAL_MS);
+    uint64_t recent = subtract_clamped(now, ZONE_PROBE_INTERVAL_MS + 2 * ZONE_CHECK_INTERVAL_MS);
     /* Responses from before the isolation do not count. */
     recent = recent > isolation->since ? recent : isolation->since;
     if (count_received(members, count, recent) < quorum)
@@ -85,7 +85,7 @@
     if (isolation->isolated)
         return check_recovery(isolation, members, count, quorum, now);
     if (!waiting ||
-        count_received(members, count, time_before(now, ZONE_SUSPECT_AFTER_MS)) >= quorum) {
+        count_received(members, count, subtract_clamped(now, ZONE_SUSPECT_AFTER_MS)) >= quorum) {
         isolation->suspected_since = 0;
         return ZONE_ISOLATION_NO_ACTION;
     }
--- a/src/core/routing/engine_choice.c
+++ b/src/core/routing/engine_choice.c
@@ -23,7 +23,7 @@
 } search_t;
 
 /** True if so many engines are avoided that failure detection is probably wrong. */
-static bool avoidance_unreliable(const engine_candidate_t *candidates, unsigned count) {
+static bool too_many_avoided(const engine_candidate_t *candidates, unsigned count) {
     unsigned avoided = 0;
     for (unsigned i = 0; i < count; i++)
         avoided += candidates[i].avoided;
@@ -59,7 +59,7 @@
 }
 
 /** Finds the highest-ranked eligible engine whose load is within the bound. */
-static bool search_engine(const search_t *search, unsigned *chosen) {
+static bool find_best_engine(const search_t *search, unsigned *chosen) {
     unsigned bound = load_bound(search);
     uint64_t best_rank = 0;
     bool found = false;
@@ -80,10 +80,10 @@
 /** Searches the local zone, then all zones. */
 static bool search_zones(search_t *search, unsigned *chosen) {
     search->local_only = true;
-    if (search_engine(search, chosen))
+    if (find_best_engine(search, chosen))
         return true;
     search->local_only = false;
-    return search_engine(search, chosen);
+    return find_best_engine(search, chosen);
 }
 
 static const engine_candidate_t *find_current(const engine_candidate_t *candidates, unsigned count,
@@ -104,7 +104,7 @@
         .candidates = candidates,
         .count = count,
         .part = request->part,
-        .use_avoided = avoidance_unreliable(candidates, count),
+        .use_avoided = too_many_avoided(candidates, count),
     };
     const engine_candidate_t *current = find_current(candidates, count, request);
     if (current == NULL)
--- a/src/core/routing/engine_placement.c
+++ b/src/core/routing/engine_placement.c
@@ -23,7 +23,7 @@
 } search_t;
 
 /** True if so many engines are avoided that failure detection is probably wrong. */
-static bool avoidance_unreliable(const engine_option_t *options, unsigned count) {
+static bool too_many_avoided(const engine_option_t *options, unsigned count) {
     unsigned avoided = 0;
     for (unsigned i = 0; i < count; i++)
         avoided += options[i].avoided;
@@ -182,7 +182,7 @@
 placement_t engine_place(const engine_option_t *options, unsigned count,
                          const placement_request_t *request) {
     search_t search = {.options = options, .count = count, .request = request};
-    search.use_avoided = avoidance_unreliable(options, count);
+    search.use_avoided = too_many_avoided(options, count);
     const engine_option_t *current = find_current(&search);
     placement_t placement = {0};
     if (current != NULL)
--- a/src/gateway/directory_follow.c
+++ b/src/gateway/directory_follow.c
@@ -128,7 +128,7 @@
 }
 
 /** Handles a response without a view; false if this gateway's own view has changed meanwhile. */
-static bool handle_same_view(directory_follow_t *follow, const message_t *message) {
+static bool handle_unchanged_view(directory_follow_t *follow, const message_t *message) {
     if (follow->requested_view == 0 ||
         follow->requested_view != follow->handler->view_digest(follow->owner))
         return false;
@@ -152,7 +152,7 @@
         return handle_directory(follow, message);
     if (message->type == MESSAGE_DIRECTORY_CHANGES)
         return follow->current ? handle_changes(follow, message)
-                               : handle_same_view(follow, message);
+                               : handle_unchanged_view(follow, message);
     return true;
 }
 
--- a/src/gateway/directory_role.c
+++ b/src/gateway/directory_role.c
@@ -112,8 +112,7 @@
     return gateway->backends_listed ? gateway->snapshot.digest : 0;
 }
 
-static void on_source_directory(void *owner, const directory_snapshot_t *snapshot,
-                                uint64_t revision) {
+static void on_source_view(void *owner, const directory_snapshot_t *snapshot, uint64_t revision) {
     gateway_t *gateway = owner;
     GHashTableIter iterator;
     gpointer key;
@@ -153,7 +152,7 @@
 }
 
 static const directory_follow_handler_t follow_handler = {
-    own_revision,      own_view_digest, on_source_directory,
+    own_revision,      own_view_digest, on_source_view,
     on_source_changes, on_source_group, on_source_lost,
 };
 
--- a/src/gateway/directory_watch.c
+++ b/src/gateway/directory_watch.c
@@ -369,7 +369,7 @@
         gateway->directory_requested_at = now;
     unsigned expired = backends_remove_expired(&gateway->backends);
     if (expired > 0)
-        event_log(BACKENDS_REMOVED, expired, backends_count(&gateway->backends));
+        event_log(BACKENDS_EXPIRED, expired, backends_count(&gateway->backends));
     offer_directory(gateway);
     end_group_watch(gateway);
     continue_listing(gateway);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -165,7 +165,7 @@
 /** isolation.c: detects isolation of the zone, if the settings enable it. */
 void gateway_watch_isolation(gateway_t *gateway);
 /** Applies a change of the isolation of the zone: readiness, peers and connections of callers. */
-void gateway_on_zone_isolation(void *owner, bool cut);
+void gateway_on_zone_isolation(void *owner, bool isolated);
 /** Recomputes readiness and logs a change. */
 void gateway_check_ready(gateway_t *gateway);
 /** Serves readiness and metrics; see reports.c. False if an address can't be listened on. */
--- a/src/gateway/load_report.c
+++ b/src/gateway/load_report.c
@@ -28,11 +28,11 @@
     }
 }
 
-load_entry_t load_entry_from_speed(uint64_t incarnation, const speed_estimate_t *pace,
+load_entry_t load_entry_from_speed(uint64_t incarnation, const speed_estimate_t *estimate,
                                    uint64_t now) {
-    uint64_t age = now > pace->at ? now - pace->at : 0;
-    uint32_t samples = MIN(SAMPLES_MAX, pace->samples);
-    return (load_entry_t){incarnation, pace->work_us,
+    uint64_t age = now > estimate->at ? now - estimate->at : 0;
+    uint32_t samples = MIN(SAMPLES_MAX, estimate->samples);
+    return (load_entry_t){incarnation, estimate->work_us,
                           (uint32_t)MIN(AGE_MAX_MS, age) << SAMPLES_BITS | samples};
 }
 
--- a/src/gateway/load_report.h
+++ b/src/gateway/load_report.h
@@ -30,7 +30,7 @@
  * The speed measured at the incarnation of a back end with the id @p incarnation; see
  * backend_speeds.h.
  */
-load_entry_t load_entry_from_speed(uint64_t incarnation, const speed_estimate_t *pace,
+load_entry_t load_entry_from_speed(uint64_t incarnation, const speed_estimate_t *estimate,
                                    uint64_t now);
 /** Reads the speed from an entry of load_entry_from_speed. */
 speed_estimate_t load_entry_speed(const load_entry_t *entry, uint64_t now);
--- a/src/gateway/quota_client.c
+++ b/src/gateway/quota_client.c
@@ -247,7 +247,7 @@
  * Ends the request to the program's home: any member may be asked next. A program that the home did
  * not admit and that has not started gets the shorter token wait.
  */
-static void end_home_stage(quota_request_t *request, bool admitted) {
+static void finish_home_check(quota_request_t *request, bool admitted) {
     g_clear_pointer(&request->program, g_free);
     request->at_home = false;
     if (!admitted && !request->begun)
@@ -265,7 +265,7 @@
     if (request->program != NULL && request_from_home(request))
         return (quota_result_t){.outcome = QUOTA_PENDING};
     if (request->program != NULL)
-        end_home_stage(request, false);
+        finish_home_check(request, false);
     quota_decision_t decision = decide(client, request->tenant, &request->limit, request->tried);
     if (decision.step == QUOTA_UNREACHABLE)
         return (quota_result_t){.outcome = QUOTA_UNAVAILABLE};
@@ -393,7 +393,7 @@
         return false;
     g_hash_table_add(client->program_aware,
                      g_strdup(store_client_member_name(client->stores, member)));
-    end_home_stage(request, true);
+    finish_home_check(request, true);
     if (message->verdict != VERDICT_UNSURE)
         return false;
     quota_result_t result = {.outcome = QUOTA_EXCEEDED,
--- a/src/store/gateway_registry.c
+++ b/src/store/gateway_registry.c
@@ -35,33 +35,33 @@
     g_free(entry);
 }
 
-void gateway_registry_init(gateway_registry_t *directory) {
-    directory->gateways = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_entry);
-    directory->addresses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+void gateway_registry_init(gateway_registry_t *registry) {
+    registry->gateways = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_entry);
+    registry->addresses = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-void gateway_registry_clear(gateway_registry_t *directory) {
-    g_hash_table_destroy(directory->gateways);
-    g_hash_table_destroy(directory->addresses);
+void gateway_registry_clear(gateway_registry_t *registry) {
+    g_hash_table_destroy(registry->gateways);
+    g_hash_table_destroy(registry->addresses);
 }
 
-unsigned gateway_registry_count(const gateway_registry_t *directory) {
-    return g_hash_table_size(directory->gateways);
+unsigned gateway_registry_count(const gateway_registry_t *registry) {
+    return g_hash_table_size(registry->gateways);
 }
 
-static void add_connection(gateway_registry_t *directory, const char *address) {
-    unsigned *count = g_hash_table_lookup(directory->addresses, address);
+static void add_connection(gateway_registry_t *registry, const char *address) {
+    unsigned *count = g_hash_table_lookup(registry->addresses, address);
     if (count == NULL) {
         count = g_new0(unsigned, 1);
-        g_hash_table_insert(directory->addresses, g_strdup(address), count);
+        g_hash_table_insert(registry->addresses, g_strdup(address), count);
     }
     (*count)++;
 }
 
-static void remove_connection(gateway_registry_t *directory, const char *address) {
-    unsigned *count = g_hash_table_lookup(directory->addresses, address);
+static void remove_connection(gateway_registry_t *registry, const char *address) {
+    unsigned *count = g_hash_table_lookup(registry->addresses, address);
     if (--*count == 0)
-        g_hash_table_remove(directory->addresses, address);
+        g_hash_table_remove(registry->addresses, address);
 }
 
 static uint64_t address_order(const char *address) {
@@ -72,28 +72,28 @@
     return (host << PORT_BITS) | ntohs(parsed.sin_port);
 }
 
-void gateway_registry_add(gateway_registry_t *directory, const uint64_t *serial,
-                          const char *address, const char *zone) {
-    gateway_registry_remove(directory, serial);
+void gateway_registry_add(gateway_registry_t *registry, const uint64_t *serial, const char *address,
+                          const char *zone) {
+    gateway_registry_remove(registry, serial);
     gateway_entry_t *entry = g_new0(gateway_entry_t, 1);
     entry->address = g_strdup(address);
     entry->zone = g_strdup(zone);
     entry->hash = XXH64(address, strlen(address), 0);
     entry->order = address_order(address);
-    g_hash_table_insert(directory->gateways, (gpointer)serial, entry);
-    add_connection(directory, address);
+    g_hash_table_insert(registry->gateways, (gpointer)serial, entry);
+    add_connection(registry, address);
 }
 
-bool gateway_registry_remove(gateway_registry_t *directory, const uint64_t *serial) {
-    const gateway_entry_t *entry = g_hash_table_lookup(directory->gateways, serial);
+bool gateway_registry_remove(gateway_registry_t *registry, const uint64_t *serial) {
+    const gateway_entry_t *entry = g_hash_table_lookup(registry->gateways, serial);
     if (entry == NULL)
         return false;
-    remove_connection(directory, entry->address);
-    return g_hash_table_remove(directory->gateways, serial);
+    remove_connection(registry, entry->address);
+    return g_hash_table_remove(registry->gateways, serial);
 }
 
-bool gateway_registry_contains(const gateway_registry_t *directory, const char *address) {
-    return g_hash_table_contains(directory->addresses, address);
+bool gateway_registry_contains(const gateway_registry_t *registry, const char *address) {
+    return g_hash_table_contains(registry->addresses, address);
 }
 
 unsigned gateway_registry_cell_count(unsigned gateways) {
@@ -211,12 +211,12 @@
     }
 }
 
-static GHashTable *build_zones(const gateway_registry_t *directory) {
-    bool full_mesh = gateway_registry_count(directory) <= GATEWAYS_FULL_MESH_MAX;
+static GHashTable *build_zones(const gateway_registry_t *registry) {
+    bool full_mesh = gateway_registry_count(registry) <= GATEWAYS_FULL_MESH_MAX;
     GHashTable *zones = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_zone);
     GHashTableIter iterator;
     gpointer value;
-    g_hash_table_iter_init(&iterator, directory->gateways);
+    g_hash_table_iter_init(&iterator, registry->gateways);
     while (g_hash_table_iter_next(&iterator, NULL, &value)) {
         gateway_entry_t *entry = value;
         g_ptr_array_add(obtain_zone(zones, full_mesh ? "" : entry->zone)->entries, entry);
@@ -226,21 +226,21 @@
         build_cells(value, full_mesh);
         build_lists(value);
     }
-    if (!full_mesh && gateway_registry_count(directory) <= GATEWAYS_REMOTE_MAX)
+    if (!full_mesh && gateway_registry_count(registry) <= GATEWAYS_REMOTE_MAX)
         add_all_remote(zones);
     return zones;
 }
 
-void gateway_registry_notify(gateway_registry_t *directory,
+void gateway_registry_notify(gateway_registry_t *registry,
                              void (*notify)(void *user, const uint64_t *serial,
                                             const gateway_peer_list_t *list),
                              void *user) {
-    bool full_mesh = gateway_registry_count(directory) <= GATEWAYS_FULL_MESH_MAX;
-    GHashTable *zones = build_zones(directory);
+    bool full_mesh = gateway_registry_count(registry) <= GATEWAYS_FULL_MESH_MAX;
+    GHashTable *zones = build_zones(registry);
     GHashTableIter iterator;
     gpointer serial;
     gpointer value;
-    g_hash_table_iter_init(&iterator, directory->gateways);
+    g_hash_table_iter_init(&iterator, registry->gateways);
     while (g_hash_table_iter_next(&iterator, &serial, &value)) {
         gateway_entry_t *entry = value;
         const zone_t *zone = g_hash_table_lookup(zones, full_mesh ? "" : entry->zone);
--- a/src/store/gateway_registry.h
+++ b/src/store/gateway_registry.h
@@ -51,22 +51,22 @@
     uint64_t digest;    /**< Of all three, independent of their order. */
 } gateway_peer_list_t;
 
-void gateway_registry_init(gateway_registry_t *directory);
-void gateway_registry_clear(gateway_registry_t *directory);
-unsigned gateway_registry_count(const gateway_registry_t *directory);
+void gateway_registry_init(gateway_registry_t *registry);
+void gateway_registry_clear(gateway_registry_t *registry);
+unsigned gateway_registry_count(const gateway_registry_t *registry);
 /** Adds the gateway of a connection; @p serial must outlive its entry. */
-void gateway_registry_add(gateway_registry_t *directory, const uint64_t *serial,
-                          const char *address, const char *zone);
+void gateway_registry_add(gateway_registry_t *registry, const uint64_t *serial, const char *address,
+                          const char *zone);
 /** Removes the gateway of a connection; false if it has none. */
-bool gateway_registry_remove(gateway_registry_t *directory, const uint64_t *serial);
-bool gateway_registry_contains(const gateway_registry_t *directory, const char *address);
+bool gateway_registry_remove(gateway_registry_t *registry, const uint64_t *serial);
+bool gateway_registry_contains(const gateway_registry_t *registry, const char *address);
 /** Number of cells of a zone with @p gateways gateways. */
 unsigned gateway_registry_cell_count(unsigned gateways);
 /**
  * Calls @p notify for each gateway whose list has changed since the last call. A list is valid
  * until this function returns; gateways of the same cell share one list.
  */
-void gateway_registry_notify(gateway_registry_t *directory,
+void gateway_registry_notify(gateway_registry_t *registry,
                              void (*notify)(void *user, const uint64_t *serial,
                                             const gateway_peer_list_t *list),
                              void *user);
--- a/src/store/store_membership.c
+++ b/src/store/store_membership.c
@@ -136,7 +136,8 @@
 }
 
 /** Writes @p group to the key-value service if the group's key is unchanged; takes ownership. */
-static void propose(store_membership_t *membership, store_group_t *group, const char *reason) {
+static void start_group_write(store_membership_t *membership, store_group_t *group,
+                              const char *reason) {
     event_log(STORE_GROUP_PROPOSED, group->generation, group->members->len, reason);
     write_key(membership, key_value_own_key(group_name), store_group_encode(group), false,
               membership->group_revision);
@@ -334,7 +335,7 @@
     store_group_fill(group->members, founders, store_group_size(store->settings->tolerated_losses));
     group->target = group->members->len;
     if (due)
-        propose(membership, group, "founding");
+        start_group_write(membership, group, "founding");
     else
         store_group_free(group);
     g_array_free(founders, TRUE);
@@ -344,7 +345,7 @@
 static void propose_change(store_membership_t *membership, store_group_t *next,
                            const char *reason) {
     if (all_can_complete(membership, next))
-        propose(membership, next, reason);
+        start_group_write(membership, next, reason);
     else
         store_group_free(next);
 }
--- a/tests/unit/gateway_registry_test.cc
+++ b/tests/unit/gateway_registry_test.cc
@@ -22,12 +22,12 @@
     unsigned count = 0;
 };
 
-class GatewayDirectory : public testing::Test {
+class GatewayRegistry : public testing::Test {
   protected:
-    GatewayDirectory() {
+    GatewayRegistry() {
         gateway_registry_init(&directory);
     }
-    ~GatewayDirectory() override {
+    ~GatewayRegistry() override {
         gateway_registry_clear(&directory);
     }
     static std::string address(unsigned number) {
@@ -48,7 +48,7 @@
         return addresses_sent;
     }
     static void on_list(void *user, const uint64_t *serial, const gateway_peer_list_t *list) {
-        auto *test = static_cast<GatewayDirectory *>(user);
+        auto *test = static_cast<GatewayRegistry *>(user);
         SentList &sent = test->sent_lists[*serial];
         sent.count++;
         sent.known.clear();
@@ -68,7 +68,7 @@
     size_t addresses_sent = 0;
 };
 
-TEST_F(GatewayDirectory, FewGatewaysFormAFullMesh) {
+TEST_F(GatewayRegistry, FewGatewaysFormAFullMesh) {
     add(GATEWAYS_FULL_MESH_MAX, {"a", "b"});
     notify();
     for (const auto &[serial, list] : sent_lists) {
@@ -78,7 +78,7 @@
     EXPECT_EQ(sent_lists.size(), size_t{GATEWAYS_FULL_MESH_MAX});
 }
 
-TEST_F(GatewayDirectory, GatewaysOfALargeFleetKnowTheirZone) {
+TEST_F(GatewayRegistry, GatewaysOfALargeFleetKnowTheirZone) {
     add(60, {"a", "b", "c"});
     notify();
     for (const auto &[serial, list] : sent_lists) {
@@ -89,7 +89,7 @@
 }
 
 // Guards against placement that ignores calls of other zones on the engines of a zone.
-TEST_F(GatewayDirectory, GatewaysOfALargeFleetKnowRemoteZones) {
+TEST_F(GatewayRegistry, GatewaysOfALargeFleetKnowRemoteZones) {
     add(60, {"a", "b", "c"});
     notify();
     for (const auto &[serial, list] : sent_lists) {
@@ -106,7 +106,7 @@
         EXPECT_TRUE(list.remote.empty());
 }
 
-TEST_F(GatewayDirectory, ZonesWithSeveralCellsAreNotListedRemotely) {
+TEST_F(GatewayRegistry, ZonesWithSeveralCellsAreNotListedRemotely) {
     add(GATEWAYS_CELL_MEAN_MAX + 10, {"a"});
     add(20, {"b", "c"});
     notify();
@@ -117,7 +117,7 @@
 
 // Guards against lists that grow with the fleet: load reports would become so infrequent that peers
 // consider the watch state of a gateway stale.
-TEST_F(GatewayDirectory, ListsDoNotGrowWithTheFleet) {
+TEST_F(GatewayRegistry, ListsDoNotGrowWithTheFleet) {
     for (unsigned gateways : {30U, 100U, 300U, 865U, 3300U, 6600U}) {
         gateway_registry_clear(&directory);
         gateway_registry_init(&directory);
@@ -134,7 +134,7 @@
     }
 }
 
-TEST_F(GatewayDirectory, CellsShareOneListAndTheRootHasNoSources) {
+TEST_F(GatewayRegistry, CellsShareOneListAndTheRootHasNoSources) {
     add(400, {"a"});
     notify();
     unsigned roots = 0;
@@ -149,7 +149,7 @@
     EXPECT_LT(roots, 2U * GATEWAYS_CELL_MEAN_MAX);
 }
 
-TEST_F(GatewayDirectory, SourcesAreTheFirstOfTheRootCellByAddress) {
+TEST_F(GatewayRegistry, SourcesAreTheFirstOfTheRootCellByAddress) {
     add(400, {"a"});
     notify();
     std::vector<std::string> roots;
@@ -165,7 +165,7 @@
 }
 
 // A removed gateway changes the lists of its own cell only, unless it is a source.
-TEST_F(GatewayDirectory, ChangesAreSentToTheCellOnly) {
+TEST_F(GatewayRegistry, ChangesAreSentToTheCellOnly) {
     add(3300, {"a", "b", "c", "d", "e", "f"});
     notify();
     EXPECT_EQ(notify(), 0U) << "nothing has changed";
@@ -177,7 +177,7 @@
     EXPECT_LE(max_addresses, size_t{4 * GATEWAYS_CELL_MEAN_MAX * GATEWAYS_CELL_MEAN_MAX});
 }
 
-TEST_F(GatewayDirectory, EmptyCellIsNotTheRoot) {
+TEST_F(GatewayRegistry, EmptyCellIsNotTheRoot) {
     add(100, {"a"});
     add(0, {"a"});
     notify();
@@ -195,7 +195,7 @@
             EXPECT_TRUE(gateway_registry_contains(&directory, source.c_str()));
 }
 
-TEST_F(GatewayDirectory, RemovedGatewayIsNotListed) {
+TEST_F(GatewayRegistry, RemovedGatewayIsNotListed) {
     add(3, {"a"});
     EXPECT_TRUE(gateway_registry_remove(&directory, serials[0].get()));
     EXPECT_FALSE(gateway_registry_remove(&directory, serials[0].get()));
@@ -204,7 +204,7 @@
     EXPECT_EQ(gateway_registry_count(&directory), 2U);
 }
 
-TEST_F(GatewayDirectory, GatewayStaysConnectedUntilItsLastConnectionEnds) {
+TEST_F(GatewayRegistry, GatewayStaysConnectedUntilItsLastConnectionEnds) {
     uint64_t first = 1;
     uint64_t second = 2;
     gateway_registry_add(&directory, &first, "10.0.0.9:1", "a");
